--- a/crates/gateway/src/upstream/send.rs
+++ b/crates/gateway/src/upstream/send.rs
@@ -1,4 +1,4 @@
-//! Sending one request to one endpoint and judging the head of the answer.
+//! Sends one request to one endpoint and checks the head of the answer.
 
 use std::time;
 
@@ -9,16 +9,16 @@
 
 use crate::{names, names::HeaderNames, upstream};
 
-/// The part of the idle time that an endpoint states which is used.
-const KEEP_ALIVE_PART: f64 = 0.6;
+/// The share of the idle timeout stated by an endpoint that is used.
+const KEEP_ALIVE_SHARE: f64 = 0.6;
 
-/// Holds the head of an endpoint's answer to this very request.
+/// The head of an endpoint's answer that belongs to this request.
 pub(crate) struct Answer {
     pub(crate) response: hyper::Response<body::Incoming>,
-    pub(crate) link: upstream::Link,
+    pub(crate) connection: upstream::Connection,
 }
 
-/// Says how a send failed before the answer's body.
+/// A send that failed before the answer's body.
 #[derive(Debug)]
 pub(crate) struct SendError {
     pub(crate) failure: gateway::Failure,
@@ -27,8 +27,8 @@
 }
 
 impl SendError {
-    fn broken(error: &hyper::Error) -> Self {
-        let (failure, outcome) = (upstream::broken(error), gateway::Outcome::Lost);
+    fn from_connection(error: &hyper::Error) -> Self {
+        let (failure, outcome) = (upstream::classify_error(error), gateway::Outcome::Lost);
         Self { failure, outcome, detail: describe(error) }
     }
 
@@ -45,12 +45,12 @@
 
 /// Sends `request` to the endpoint of `grant`.
 ///
-/// An idle connection that turns out to be closed before a byte was written is replaced.
+/// If an idle connection turns out to be closed before a byte was written, another connection is used.
 ///
 /// Calls `on_rate_limit` with the endpoint's rate limit, or with `None` if the answer shows that the
 /// endpoint sets none. It is not called if the answer does not tell or the value is invalid.
 pub(crate) async fn send(
-    links: &upstream::Links,
+    pool: &upstream::ConnectionPool,
     names: &HeaderNames,
     grant: &gateway::Grant,
     id: &str,
@@ -58,35 +58,35 @@
     on_rate_limit: impl Fn(Option<f64>),
 ) -> Result<Answer, SendError> {
     loop {
-        let idle = links.take(&grant.endpoint);
+        let idle = pool.take(&grant.endpoint);
         let is_new = idle.is_none();
-        let mut link = match idle {
-            Some(link) => link,
+        let mut connection = match idle {
+            Some(connection) => connection,
             None => {
-                let opened = links.open(grant.address).await;
+                let opened = pool.open(grant.address).await;
                 opened.map_err(|error| SendError::not_sent(format!("connect: {error}")))?
             }
         };
-        match link.send(request.clone()).await {
+        match connection.send(request.clone()).await {
             Ok(response) => {
                 if let Some(limit) = rate_limit(names, &response) {
                     on_rate_limit(limit);
                 }
-                return judge(names, id, response, link);
+                return check_head(names, id, response, connection);
             }
             Err((_, true)) if !is_new => {}
             Err((error, true)) => return Err(SendError::not_sent(describe(&error))),
-            Err((error, false)) => return Err(SendError::broken(&error)),
+            Err((error, false)) => return Err(SendError::from_connection(&error)),
         }
     }
 }
 
-/// Decides whether the head belongs to an answer that may be passed on.
-fn judge(
+/// Checks whether the head belongs to an answer that may be forwarded.
+fn check_head(
     names: &HeaderNames,
     id: &str,
     response: hyper::Response<body::Incoming>,
-    mut link: upstream::Link,
+    mut connection: upstream::Connection,
 ) -> Result<Answer, SendError> {
     let headers = response.headers();
     let echoed = names::text(headers, &names.request_id);
@@ -111,12 +111,12 @@
     if response.status().is_success() && !is_sealed {
         return Err(SendError::lost("success without id and seal"));
     }
-    if !response.status().is_success() && is_promise(response.status()) {
-        // Passed on, it would tell the caller that nothing ran.
+    if !response.status().is_success() && implies_not_run(response.status()) {
+        // Forwarded, the status would tell the caller that nothing ran.
         return Err(SendError::lost(format!("answered {}", response.status().as_u16())));
     }
-    keep_alive(&response, &mut link);
-    Ok(Answer { response, link })
+    keep_alive(&response, &mut connection);
+    Ok(Answer { response, connection })
 }
 
 /// Reads the endpoint's rate limit in requests per second: `Some(None)` if the endpoint sets none, `None`
@@ -140,8 +140,8 @@
     limit.map(Some)
 }
 
-/// Says whether callers take the status as a promise that nothing ran.
-pub(crate) const fn is_promise(status: StatusCode) -> bool {
+/// Returns whether callers take the status as a guarantee that nothing ran.
+pub(crate) const fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -151,19 +151,19 @@
     )
 }
 
-fn keep_alive(response: &hyper::Response<body::Incoming>, link: &mut upstream::Link) {
+fn keep_alive(response: &hyper::Response<body::Incoming>, connection: &mut upstream::Connection) {
     let headers = response.headers();
     let closes = names::text(headers, &header::CONNECTION);
     if closes.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
-        link.spend();
+        connection.forbid_reuse();
     }
     let stated = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let seconds = stated.and_then(|text| {
         let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
         timeout.unwrap_or(text).trim().parse::<u32>().ok()
     });
-    let limit = |seconds| time::Duration::from_secs(u64::from(seconds)).mul_f64(KEEP_ALIVE_PART);
-    link.idle_limit = seconds.map(limit);
+    let limit = |seconds| time::Duration::from_secs(u64::from(seconds)).mul_f64(KEEP_ALIVE_SHARE);
+    connection.idle_limit = seconds.map(limit);
 }
 
 fn describe(error: &dyn std::error::Error) -> String {
