--- a/crates/gateway/tests/testsuite/crashes.rs
+++ b/crates/gateway/tests/testsuite/crashes.rs
@@ -1,210 +1,217 @@
-//! One caller's request ended every engine that began to run it. It was sent again and again, each time under a new id and to
-//! any gateway, and each gateway gave it another engine: nobody recognised it, and what one gateway had seen the others did not
-//! know. Twenty of the 23 engines that ended in 37 seconds had just begun such a request, and everything beside it was lost as
-//! well, up to seven answers at a time:
+//! Guards against a request that crashes every engine that starts it and is retried until no engine is
+//! left.
 //!
-//! ```text
-//! 39.944 s  7 answers cut at one engine; the request of 1,406 prompt tokens was sent 0.203 s before, no event came
-//! 40.327 s  7 cut at another; the request was sent 0.175 s before, no event came
-//! 41.482 s  7 cut at a third; the request was sent twice, 0.284 s and 0.097 s before, no event came
-//! 43.623 s  7 cut at a fourth; the request was sent 0.393 s before, no event came
-//! ```
+//! A caller sent such a request again and again, each time under a new id and to any gateway. No gateway
+//! recognised it or knew of the crashes that another one had seen, so each gateway gave it another engine.
+//! 20 of the 23 engines that crashed within 37 seconds had just started it, and each crash cut off up to 7
+//! answers. Four of the crashes came within 3.7 s. They followed the send of the request, which had 1,406
+//! prompt tokens, by 0.203 s, 0.175 s, 0.284 s (a second send came after that, 0.097 s before the crash)
+//! and 0.393 s, before the first event.
 //!
-//! So once three endpoints have ended under a request, no gateway sends it to another one: callers are told that it has not
-//! run and when to come back.
+//! So once three endpoints have crashed under a request, no gateway sends it to another one: callers are
+//! told that it has not run and when to retry.
 
 use std::{thread, time::Duration};
 
 use trefoildyke_decide::gateway::{Mesh, Peer, RosterEntry, Strength};
 use trefoildyke_types::time::Timestamp;
 
-use crate::harness::{self, Endpoint, Stack, Step};
+use crate::harness::{self, Endpoint, Step, TestGateway};
 
-/// How long it may take until all gateways know that a request ends endpoints.
-const KNOWN: Duration = Duration::from_secs(3);
+/// The time after which all gateways must know that a request crashes endpoints.
+const DETECTION_TIME: Duration = Duration::from_secs(3);
 
-/// The request that ends endpoints.
-const HARMFUL: &str = "POST /stream/7";
+/// The request that crashes endpoints.
+const CRASHING_REQUEST: &str = "POST /stream/7";
 
-/// An endpoint that ends under whatever it begins to run.
-fn ending() -> Endpoint {
+/// Starts an endpoint that crashes under whatever it begins to run.
+fn crashing_endpoint() -> Endpoint {
     Endpoint::start(vec![vec![Step::Stream, Step::Pause(Duration::from_millis(50)), Step::Close]])
 }
 
-/// Sends the request that ends endpoints, and checks that it ended one.
-fn end_one(stack: &Stack, endpoint: &Endpoint) {
-    let reply = stack.ask(HARMFUL);
-    assert!(reply.as_ref().is_none_or(|reply| !reply.whole), "{reply:?}");
-    assert_eq!(endpoint.seen().len(), 1);
+/// Sends the request that crashes endpoints, and checks that it crashed `endpoint`.
+fn crash_endpoint(gateway: &TestGateway, endpoint: &Endpoint) {
+    let reply = gateway.request(CRASHING_REQUEST);
+    assert!(reply.as_ref().is_none_or(|reply| !reply.is_complete), "{reply:?}");
+    assert_eq!(endpoint.requests().len(), 1);
 }
 
 /// Lists all endpoints so that only the one at `place` gets new work.
-fn only(place: usize, endpoints: &[Endpoint]) -> Vec<RosterEntry> {
+fn only_active(index: usize, endpoints: &[Endpoint]) -> Vec<RosterEntry> {
     let mut entries = harness::entries(&endpoints.iter().collect::<Vec<_>>());
     for (number, entry) in entries.iter_mut().enumerate() {
-        entry.draining = number != place;
+        entry.draining = number != index;
     }
     entries
 }
 
-fn seen(endpoints: &[Endpoint]) -> usize {
-    endpoints.iter().map(|endpoint| endpoint.seen().len()).sum()
+fn request_count(endpoints: &[Endpoint]) -> usize {
+    endpoints.iter().map(|endpoint| endpoint.requests().len()).sum()
 }
 
-/// Starts gateways that know each other.
-fn meeting(count: usize) -> Vec<Stack> {
-    let stacks: Vec<_> = (0..count).map(|_| Stack::start(&[])).collect();
-    meet(&stacks);
-    stacks
+/// Starts gateways that are members of one mesh.
+fn start_members(count: usize) -> Vec<TestGateway> {
+    let gateways: Vec<_> = (0..count).map(|_| TestGateway::start(&[])).collect();
+    connect(&gateways);
+    gateways
 }
 
-fn members(stacks: &[Stack]) -> Vec<Peer> {
-    let peer = |stack: &Stack| Peer { address: stack.addresses.peers, strength: Strength::UNKNOWN };
-    stacks.iter().map(peer).collect()
+fn members(gateways: &[TestGateway]) -> Vec<Peer> {
+    let peer = |gateway: &TestGateway| Peer {
+        address: gateway.addresses.peers,
+        strength: Strength::UNKNOWN,
+    };
+    gateways.iter().map(peer).collect()
 }
 
-/// Tells gateways of each other.
-fn meet(stacks: &[Stack]) {
-    for stack in stacks {
-        stack.feed.members(&members(stacks));
+/// Gives each gateway the list of all of them.
+fn connect(gateways: &[TestGateway]) {
+    for gateway in gateways {
+        gateway.feed.members(&members(gateways));
     }
     thread::sleep(Duration::from_millis(400));
 }
 
-/// Checks that all gateways know in time that the request must not be sent to a fourth endpoint.
-fn check_refused(stacks: &[Stack], endpoints: &[Endpoint]) {
-    for stack in stacks {
-        stack.feed.endpoints(only(3, endpoints));
+/// Checks that after [`DETECTION_TIME`] no gateway sends the request to a fourth endpoint.
+fn check_refused(gateways: &[TestGateway], endpoints: &[Endpoint]) {
+    for gateway in gateways {
+        gateway.feed.endpoints(only_active(3, endpoints));
     }
-    thread::sleep(KNOWN);
-    for (number, stack) in stacks.iter().enumerate() {
-        assert_eq!(stack.ask(HARMFUL).unwrap().status, 503, "gateway {number}");
+    thread::sleep(DETECTION_TIME);
+    for (number, gateway) in gateways.iter().enumerate() {
+        assert_eq!(gateway.request(CRASHING_REQUEST).unwrap().status, 503, "gateway {number}");
     }
-    assert_eq!(seen(endpoints), 3);
+    assert_eq!(request_count(endpoints), 3);
 }
 
 #[test]
-fn a_request_under_which_three_endpoints_ended_is_refused_and_others_are_served() {
-    let mut endpoints: Vec<_> = (0..3).map(|_| ending()).collect();
+fn a_request_that_crashed_three_endpoints_is_refused_and_others_are_served() {
+    let mut endpoints: Vec<_> = (0..3).map(|_| crashing_endpoint()).collect();
     endpoints.push(Endpoint::start(vec![vec![Step::Answer("whole")]]));
-    let stack = Stack::start(&[]);
-    for (place, endpoint) in endpoints[..3].iter().enumerate() {
-        stack.feed.endpoints(only(place, &endpoints));
-        end_one(&stack, endpoint);
+    let gateway = TestGateway::start(&[]);
+    for (index, endpoint) in endpoints[..3].iter().enumerate() {
+        gateway.feed.endpoints(only_active(index, &endpoints));
+        crash_endpoint(&gateway, endpoint);
     }
-    stack.feed.endpoints(only(3, &endpoints));
-    let reply = stack.ask(HARMFUL);
-    assert_eq!(endpoints[3].seen().len(), 0, "sent to a fourth endpoint");
+    gateway.feed.endpoints(only_active(3, &endpoints));
+    let reply = gateway.request(CRASHING_REQUEST);
+    assert_eq!(endpoints[3].requests().len(), 0, "sent to a fourth endpoint");
     let reply = reply.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some(), "{reply:?}");
-    assert_eq!(stack.ask("POST /once/7").unwrap().body, "whole");
+    assert_eq!(gateway.request("POST /once/7").unwrap().body, "whole");
 }
 
 #[test]
-fn each_gateway_refuses_a_request_that_ended_endpoints_elsewhere() {
-    let endpoints: Vec<_> = (0..8).map(|_| ending()).collect();
-    let stacks = meeting(5);
-    for place in 0..3 {
-        for stack in &stacks {
-            stack.feed.endpoints(only(place, &endpoints));
+fn each_gateway_refuses_a_request_that_crashed_endpoints_at_other_gateways() {
+    let endpoints: Vec<_> = (0..8).map(|_| crashing_endpoint()).collect();
+    let gateways = start_members(5);
+    for index in 0..3 {
+        for gateway in &gateways {
+            gateway.feed.endpoints(only_active(index, &endpoints));
         }
-        end_one(&stacks[place], &endpoints[place]);
+        crash_endpoint(&gateways[index], &endpoints[index]);
     }
-    check_refused(&stacks, &endpoints);
+    check_refused(&gateways, &endpoints);
 }
 
 #[test]
-fn a_stream_is_not_resumed_at_a_fourth_endpoint_after_three_have_ended_under_it() {
-    let endpoints: Vec<_> = (0..6).map(|_| ending()).collect();
-    let stack = Stack::start(&[]);
-    stack.reconfigure(2, |config| config.routes[3].attempts = 6);
-    stack.feed.endpoints(harness::entries(&endpoints.iter().collect::<Vec<_>>()));
-    let reply = stack.ask("POST /resume/7");
-    assert!(reply.as_ref().is_none_or(|reply| !reply.whole), "{reply:?}");
-    assert_eq!(seen(&endpoints), 3);
+fn a_stream_is_not_resumed_at_a_fourth_endpoint_after_three_crashes() {
+    let endpoints: Vec<_> = (0..6).map(|_| crashing_endpoint()).collect();
+    let gateway = TestGateway::start(&[]);
+    gateway.reconfigure(2, |config| config.routes[3].attempts = 6);
+    gateway.feed.endpoints(harness::entries(&endpoints.iter().collect::<Vec<_>>()));
+    let reply = gateway.request("POST /resume/7");
+    assert!(reply.as_ref().is_none_or(|reply| !reply.is_complete), "{reply:?}");
+    assert_eq!(request_count(&endpoints), 3);
 }
 
 #[test]
-fn a_request_that_waits_when_the_third_endpoint_ends_under_its_like_is_not_sent() {
+fn a_queued_request_is_not_sent_after_an_identical_one_crashes_the_third_endpoint() {
     let slow = vec![Step::Stream, Step::Pause(Duration::from_millis(300)), Step::Close];
-    let endpoints = [ending(), ending(), Endpoint::start(vec![slow])];
-    let stack = Stack::start(&[]);
-    for (place, endpoint) in endpoints[..2].iter().enumerate() {
-        stack.feed.endpoints(only(place, &endpoints));
-        end_one(&stack, endpoint);
+    let endpoints = [crashing_endpoint(), crashing_endpoint(), Endpoint::start(vec![slow])];
+    let gateway = TestGateway::start(&[]);
+    for (index, endpoint) in endpoints[..2].iter().enumerate() {
+        gateway.feed.endpoints(only_active(index, &endpoints));
+        crash_endpoint(&gateway, endpoint);
     }
-    let mut entries = only(2, &endpoints);
+    let mut entries = only_active(2, &endpoints);
     entries[2].slots = 1;
-    stack.feed.endpoints(entries);
+    gateway.feed.endpoints(entries);
     let send = || {
-        let mut caller = stack.caller();
+        let mut caller = gateway.caller();
         let headers = [("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")];
-        caller.send(HARMFUL, &headers, "");
+        caller.send(CRASHING_REQUEST, &headers, "");
         caller
     };
     let mut first = send();
-    Stack::wait_until("the third endpoint runs it", || endpoints[2].seen().len() == 1);
+    TestGateway::wait_until("the third endpoint runs it", || endpoints[2].requests().len() == 1);
     let mut second = send();
-    assert!(first.reply().is_none_or(|reply| !reply.whole));
-    let reply = second.reply().unwrap();
-    assert_eq!((reply.status, endpoints[2].seen().len()), (503, 1));
+    assert!(first.read_reply().is_none_or(|reply| !reply.is_complete));
+    let reply = second.read_reply().unwrap();
+    assert_eq!((reply.status, endpoints[2].requests().len()), (503, 1));
 }
 
-/// All hear of the third end from the one of three that is left of those which hear of every end.
+/// Two of the three hubs, which hear of every crash, stop before the third crash; all gateways hear of it
+/// from the remaining hub.
 #[test]
-fn all_gateways_refuse_a_request_that_ends_endpoints_though_hubs_are_lost() {
-    let endpoints: Vec<_> = (0..4).map(|_| ending()).collect();
-    let mut stacks = meeting(5);
-    let mut mesh = Mesh::new(stacks[0].addresses.peers, KNOWN);
-    mesh.replace(Timestamp::ZERO, &members(&stacks));
+fn all_gateways_refuse_a_crashing_request_after_the_loss_of_hubs() {
+    let endpoints: Vec<_> = (0..4).map(|_| crashing_endpoint()).collect();
+    let mut gateways = start_members(5);
+    let mut mesh = Mesh::new(gateways[0].addresses.peers, DETECTION_TIME);
+    mesh.replace(Timestamp::ZERO, &members(&gateways));
     let hubs = mesh.hubs().to_vec();
-    stacks.sort_by_key(|stack| hubs.iter().position(|hub| *hub == stack.addresses.peers));
-    // Those that are no hubs come first now.
-    for (place, endpoint) in endpoints[..3].iter().enumerate() {
-        if place == 2 {
-            stacks.drain(2..4);
+    gateways.sort_by_key(|gateway| hubs.iter().position(|hub| *hub == gateway.addresses.peers));
+    // Gateways that are not hubs come first now.
+    for (index, endpoint) in endpoints[..3].iter().enumerate() {
+        if index == 2 {
+            gateways.drain(2..4);
         }
-        stacks[0].feed.endpoints(only(place, &endpoints));
-        end_one(&stacks[0], endpoint);
+        gateways[0].feed.endpoints(only_active(index, &endpoints));
+        crash_endpoint(&gateways[0], endpoint);
     }
-    check_refused(&stacks, &endpoints);
+    check_refused(&gateways, &endpoints);
 }
 
-/// Whether it becomes one of those that hear of every end, or asks those about the store.
+/// The gateways that start later become hubs, which hear of every crash, or learn of the crashes from the
+/// readers of the store.
 #[test]
-fn gateways_that_start_later_learn_which_request_ends_endpoints() {
-    let endpoints: Vec<_> = (0..4).map(|_| ending()).collect();
-    let mut stacks = meeting(3);
-    for (place, endpoint) in endpoints[..3].iter().enumerate() {
-        stacks[0].feed.endpoints(only(place, &endpoints));
-        end_one(&stacks[0], endpoint);
+fn gateways_that_start_later_learn_which_request_crashes_endpoints() {
+    let endpoints: Vec<_> = (0..4).map(|_| crashing_endpoint()).collect();
+    let mut gateways = start_members(3);
+    for (index, endpoint) in endpoints[..3].iter().enumerate() {
+        gateways[0].feed.endpoints(only_active(index, &endpoints));
+        crash_endpoint(&gateways[0], endpoint);
     }
-    stacks.extend((0..3).map(|_| Stack::start(&[])));
-    meet(&stacks);
-    for stack in &stacks {
-        stack.query_readers();
+    gateways.extend((0..3).map(|_| TestGateway::start(&[])));
+    connect(&gateways);
+    for gateway in &gateways {
+        gateway.query_readers();
     }
-    check_refused(&stacks, &endpoints);
+    check_refused(&gateways, &endpoints);
 }
 
 #[test]
-fn a_request_that_an_endpoint_answers_in_between_is_sent_on() {
+fn a_request_that_an_endpoint_answers_between_crashes_is_not_refused() {
     let endpoints: Vec<_> = (0..6)
-        .map(|place| {
-            let is_sound = place == 2;
-            if is_sound { Endpoint::start(vec![vec![Step::Answer("whole")]]) } else { ending() }
+        .map(|index| {
+            let answers = index == 2;
+            if answers {
+                Endpoint::start(vec![vec![Step::Answer("whole")]])
+            } else {
+                crashing_endpoint()
+            }
         })
         .collect();
-    let stacks = meeting(2);
-    for place in 0..5 {
-        for stack in &stacks {
-            stack.feed.endpoints(only(place, &endpoints));
+    let gateways = start_members(2);
+    for index in 0..5 {
+        for gateway in &gateways {
+            gateway.feed.endpoints(only_active(index, &endpoints));
         }
-        // Ends at one gateway, is answered at the other.
-        let reply = stacks[usize::from(place == 2)].ask("POST /once/7").unwrap();
-        assert_eq!(reply.status, if place == 2 { 200 } else { 502 }, "endpoint {place}");
+        // The request crashes an endpoint at one gateway and is answered at the other.
+        let reply = gateways[usize::from(index == 2)].request("POST /once/7").unwrap();
+        assert_eq!(reply.status, if index == 2 { 200 } else { 502 }, "endpoint {index}");
         thread::sleep(Duration::from_millis(300));
     }
-    assert_eq!(seen(&endpoints), 5);
+    assert_eq!(request_count(&endpoints), 5);
 }
--- a/crates/gateway/tests/testsuite/drains.rs
+++ b/crates/gateway/tests/testsuite/drains.rs
@@ -1,27 +1,27 @@
-//! Endpoints that leave.
+//! Endpoints that are drained.
 
 use std::time::Duration;
 
-use crate::harness::{Endpoint, Stack, Step, entries};
+use crate::harness::{Endpoint, Step, TestGateway, entries};
 
 #[test]
-fn a_draining_endpoint_gets_nothing_more_also_over_its_open_connections() {
+fn a_draining_endpoint_gets_no_new_requests_on_open_connections() {
     let leaving = Endpoint::start(vec![vec![Step::Answer("leaving")]]);
     let staying = Endpoint::start(vec![vec![Step::Answer("staying")]]);
-    let stack = Stack::start(&[&leaving]);
-    assert_eq!(stack.ask("GET /once/").unwrap().body, "leaving");
+    let gateway = TestGateway::start(&[&leaving]);
+    assert_eq!(gateway.request("GET /once/").unwrap().body, "leaving");
     let mut list = entries(&[&leaving, &staying]);
     list[0].draining = true;
-    stack.feed.endpoints(list);
+    gateway.feed.endpoints(list);
     for _ in 0..5 {
-        assert_eq!(stack.ask("GET /once/").unwrap().body, "staying");
+        assert_eq!(gateway.request("GET /once/").unwrap().body, "staying");
     }
-    assert_eq!(leaving.seen().len(), 1);
-    Stack::wait_until("the idle connection is closed", || leaving.closed() == 1);
+    assert_eq!(leaving.requests().len(), 1);
+    TestGateway::wait_until("the idle connection is closed", || leaving.closed() == 1);
 }
 
 #[test]
-fn what_runs_at_a_draining_endpoint_ends_there() {
+fn requests_in_progress_finish_at_a_draining_endpoint() {
     let leaving = Endpoint::start(vec![vec![
         Step::Stream,
         Step::Events("id: 1\n\n"),
@@ -29,30 +29,32 @@
         Step::Events("id: 2\n\n"),
         Step::EndStream,
     ]]);
-    let stack = Stack::start(&[&leaving]);
-    let mut caller = stack.caller();
+    let gateway = TestGateway::start(&[&leaving]);
+    let mut caller = gateway.caller();
     caller.send("POST /stream/", &[("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")], "");
-    caller.first_part();
+    caller.read_first_event();
     let mut list = entries(&[&leaving]);
     list[0].draining = true;
-    stack.feed.endpoints(list);
-    let reply = caller.reply().unwrap();
-    assert_eq!((reply.body.as_str(), reply.whole), ("id: 1\n\nid: 2\n\n", true));
+    gateway.feed.endpoints(list);
+    let reply = caller.read_reply().unwrap();
+    assert_eq!((reply.body.as_str(), reply.is_complete), ("id: 1\n\nid: 2\n\n", true));
 }
 
 #[test]
-fn an_address_that_another_endpoint_uses_again_is_not_taken_for_the_first() {
+fn requests_name_their_endpoint_after_its_address_was_reused() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
-    let stack = Stack::start(&[&endpoint]);
-    stack.ask("GET /once/").unwrap();
+    let gateway = TestGateway::start(&[&endpoint]);
+    gateway.request("GET /once/").unwrap();
     let mut list = entries(&[&endpoint]);
     list[0].endpoint = "second".into();
-    stack.feed.endpoints_unknown();
-    stack.feed.endpoints(list);
-    stack.ask("GET /once/").unwrap();
-    stack.ask("GET /once/").unwrap();
-    let named: Vec<_> = endpoint.seen().iter().map(|seen| seen.contains("endpoint: e0")).collect();
-    // After an outage the first entry is kept for a while: each request names whom it means.
+    gateway.feed.endpoints_unknown();
+    gateway.feed.endpoints(list);
+    gateway.request("GET /once/").unwrap();
+    gateway.request("GET /once/").unwrap();
+    let named: Vec<_> =
+        endpoint.requests().iter().map(|request| request.contains("endpoint: e0")).collect();
+    // After an outage the first entry is kept for a while, so each request must name the endpoint it is
+    // meant for.
     assert_eq!(named.len(), 3);
     assert!(named[0]);
 }
--- a/crates/gateway/tests/testsuite/harness/caller.rs
+++ b/crates/gateway/tests/testsuite/harness/caller.rs
@@ -1,21 +1,21 @@
-//! A caller that sends bytes and reads answers as they come.
+//! A caller that sends raw bytes and reads answers as they come.
 
 use std::{io::Read as _, io::Write as _, net, time};
 
 /// A connection to a gateway.
 pub(crate) struct Caller {
     stream: net::TcpStream,
-    read: Vec<u8>,
+    unread: Vec<u8>,
 }
 
-/// An answer as the caller saw it.
+/// An answer as the caller received it.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// Whether the answer was complete by its own framing.
-    pub(crate) whole: bool,
+    /// Whether the answer was complete by its framing.
+    pub(crate) is_complete: bool,
 }
 
 impl Reply {
@@ -33,17 +33,17 @@
     pub(crate) fn connect(address: net::SocketAddr) -> Self {
         let stream = net::TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(time::Duration::from_secs(10))).unwrap();
-        Self { stream, read: Vec::new() }
+        Self { stream, unread: Vec::new() }
     }
 
-    /// Waits no longer than this for a part of an answer.
-    pub(crate) fn wait_for(&self, length: time::Duration) {
+    /// Sets the timeout of each read.
+    pub(crate) fn set_timeout(&self, length: time::Duration) {
         self.stream.set_read_timeout(Some(length)).unwrap();
     }
 
     /// Sends bytes to a gateway that may close the connection before it has read all.
     pub(crate) fn try_write(&mut self, bytes: &str) {
-        // What becomes of them shows in the answer.
+        // A failure shows in the answer.
         let _ = self.stream.write_all(bytes.as_bytes());
     }
 
@@ -63,90 +63,90 @@
         self.write(&format!("{text}\r\n{body}"));
     }
 
-    /// Reads one answer; `None` if the connection ended without one.
-    pub(crate) fn reply(&mut self) -> Option<Reply> {
+    /// Reads one answer; `None` if the connection ended or timed out without one.
+    pub(crate) fn read_reply(&mut self) -> Option<Reply> {
         let end = loop {
-            if let Some(end) = find(&self.read, b"\r\n\r\n") {
+            if let Some(end) = find(&self.unread, b"\r\n\r\n") {
                 break end;
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         };
-        let head = String::from_utf8_lossy(&self.read[..end]).into_owned();
-        self.read.drain(..end + 4);
+        let head = String::from_utf8_lossy(&self.unread[..end]).into_owned();
+        self.unread.drain(..end + 4);
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        let mut reply = Reply { status, head, body: String::new(), whole: false };
+        let mut reply = Reply { status, head, body: String::new(), is_complete: false };
         if reply.header("transfer-encoding").is_some() {
-            self.chunks(&mut reply);
+            self.read_chunked(&mut reply);
         } else {
-            self.sized(&mut reply);
+            self.read_sized(&mut reply);
         }
         Some(reply)
     }
 
-    /// Reads the head of an answer and the first part of its body.
-    pub(crate) fn first_part(&mut self) -> String {
-        while find(&self.read, b"\n\n").is_none() {
-            if !self.more() {
+    /// Reads until the first event of a stream is complete; returns what was read.
+    pub(crate) fn read_first_event(&mut self) -> String {
+        while find(&self.unread, b"\n\n").is_none() {
+            if !self.read_more() {
                 break;
             }
         }
-        String::from_utf8_lossy(&self.read).into_owned()
+        String::from_utf8_lossy(&self.unread).into_owned()
     }
 
-    /// Says whether the other end closes the connection without another byte.
+    /// Returns whether the gateway closes the connection without sending another byte.
     pub(crate) fn is_closed(&mut self) -> bool {
         let mut byte = [0];
         matches!(self.stream.read(&mut byte), Ok(0))
     }
 
-    fn sized(&mut self, reply: &mut Reply) {
+    fn read_sized(&mut self, reply: &mut Reply) {
         let length = reply.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
-        while self.read.len() < length && self.more() {}
-        reply.whole = self.read.len() >= length;
-        let length = length.min(self.read.len());
-        reply.body = String::from_utf8_lossy(&self.read[..length]).into_owned();
-        self.read.drain(..length);
+        while self.unread.len() < length && self.read_more() {}
+        reply.is_complete = self.unread.len() >= length;
+        let length = length.min(self.unread.len());
+        reply.body = String::from_utf8_lossy(&self.unread[..length]).into_owned();
+        self.unread.drain(..length);
     }
 
-    fn chunks(&mut self, reply: &mut Reply) {
+    fn read_chunked(&mut self, reply: &mut Reply) {
         loop {
-            let Some(line) = self.line() else { return };
+            let Some(line) = self.read_line() else { return };
             let Ok(size) = usize::from_str_radix(line.trim(), 16) else { return };
-            while self.read.len() < size + 2 {
-                if !self.more() {
+            while self.unread.len() < size + 2 {
+                if !self.read_more() {
                     return;
                 }
             }
-            reply.body.push_str(&String::from_utf8_lossy(&self.read[..size]));
-            self.read.drain(..size + 2);
+            reply.body.push_str(&String::from_utf8_lossy(&self.unread[..size]));
+            self.unread.drain(..size + 2);
             if size == 0 {
-                reply.whole = true;
+                reply.is_complete = true;
                 return;
             }
         }
     }
 
-    fn line(&mut self) -> Option<String> {
+    fn read_line(&mut self) -> Option<String> {
         loop {
-            if let Some(end) = find(&self.read, b"\r\n") {
-                let line = String::from_utf8_lossy(&self.read[..end]).into_owned();
-                self.read.drain(..end + 2);
+            if let Some(end) = find(&self.unread, b"\r\n") {
+                let line = String::from_utf8_lossy(&self.unread[..end]).into_owned();
+                self.unread.drain(..end + 2);
                 return Some(line);
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
 
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut buffer = [0; 4096];
         match self.stream.read(&mut buffer) {
             Ok(0) | Err(_) => false,
             Ok(length) => {
-                self.read.extend_from_slice(&buffer[..length]);
+                self.unread.extend_from_slice(&buffer[..length]);
                 true
             }
         }
--- a/crates/gateway/tests/testsuite/harness/endpoint.rs
+++ b/crates/gateway/tests/testsuite/harness/endpoint.rs
@@ -1,26 +1,26 @@
-//! An endpoint that does what a script says.
+//! An endpoint that follows a script.
 
 use std::io::{Read as _, Write as _};
 use std::{net, sync, thread, time};
 
-/// One thing that an endpoint does with a request.
+/// A step of an endpoint's script.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     /// Answers 200 with a body of known length, the request's id and a seal.
     Answer(&'static str),
     /// Answers a status with an empty body, the request's id and a seal.
     Status(u16),
-    /// Says that it has not run the request.
+    /// Answers that the request was not run.
     NotRun,
-    /// Begins a stream.
+    /// Starts a stream.
     Stream,
     /// Sends events of a stream, in one chunk.
     Events(&'static str),
     /// Ends a stream.
     EndStream,
-    /// Sends these bytes as they are; `{id}` stands for the request's id.
+    /// Sends these bytes unchanged, except that `{id}` is replaced by the request's id.
     Raw(&'static str),
-    /// Waits.
+    /// Sleeps.
     Pause(time::Duration),
     /// Closes the connection.
     Close,
@@ -28,29 +28,30 @@
     Reset,
 }
 
-/// Runs until the test ends.
+/// A scripted endpoint; it runs until the test process ends.
 pub(crate) struct Endpoint {
     pub(crate) address: net::SocketAddr,
-    seen: sync::Arc<sync::Mutex<Vec<String>>>,
+    requests: sync::Arc<sync::Mutex<Vec<String>>>,
     closed: sync::Arc<sync::atomic::AtomicUsize>,
 }
 
 impl Endpoint {
-    /// Starts an endpoint that follows `scripts` in the order of requests, the last for all others.
+    /// Starts an endpoint that uses one of `scripts` for each request in order, and the last one for all
+    /// further requests.
     pub(crate) fn start(scripts: Vec<Vec<Step>>) -> Self {
         let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = sync::Arc::new(sync::Mutex::new(Vec::new()));
+        let requests = sync::Arc::new(sync::Mutex::new(Vec::new()));
         let closed = sync::Arc::new(sync::atomic::AtomicUsize::new(0));
         let scripts = sync::Arc::new(scripts);
-        let endpoint = Self { address, seen: seen.clone(), closed: closed.clone() };
-        // Ends with the test's process.
+        let endpoint = Self { address, requests: requests.clone(), closed: closed.clone() };
+        // The thread ends with the test process.
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (seen, scripts) = (seen.clone(), scripts.clone());
+                let (requests, scripts) = (requests.clone(), scripts.clone());
                 let closed = closed.clone();
                 thread::spawn(move || {
-                    serve(stream, &seen, &scripts);
+                    serve(stream, &requests, &scripts);
                     closed.fetch_add(1, sync::atomic::Ordering::Relaxed);
                 });
             }
@@ -58,9 +59,9 @@
         endpoint
     }
 
-    /// Returns the requests so far, each with its body.
-    pub(crate) fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    /// Returns the requests received so far, each with its body.
+    pub(crate) fn requests(&self) -> Vec<String> {
+        self.requests.lock().unwrap().clone()
     }
 
     /// Returns how many connections have ended.
@@ -69,24 +70,24 @@
     }
 }
 
-fn serve(mut stream: net::TcpStream, seen: &sync::Mutex<Vec<String>>, scripts: &[Vec<Step>]) {
-    while let Some(request) = read(&mut stream) {
+fn serve(mut stream: net::TcpStream, requests: &sync::Mutex<Vec<String>>, scripts: &[Vec<Step>]) {
+    while let Some(request) = read_request(&mut stream) {
         let number = {
-            let mut seen = seen.lock().unwrap();
-            seen.push(request.clone());
-            seen.len() - 1
+            let mut requests = requests.lock().unwrap();
+            requests.push(request.clone());
+            requests.len() - 1
         };
         let script = scripts.get(number).or(scripts.last()).unwrap();
         for step in script {
-            if !play(&mut stream, step, &header(&request, "trefoildyke-request-id")) {
+            if !run_step(&mut stream, step, &header(&request, "trefoildyke-request-id")) {
                 return;
             }
         }
     }
 }
 
-/// Does one step; says whether the connection goes on.
-fn play(stream: &mut net::TcpStream, step: &Step, id: &str) -> bool {
+/// Runs one step; returns whether the connection stays open.
+fn run_step(stream: &mut net::TcpStream, step: &Step, id: &str) -> bool {
     let head = format!("trefoildyke-request-id: {id}\r\ntrefoildyke-seal: sealed-{id}\r\n");
     let text = match step {
         Step::Answer(body) => {
@@ -120,7 +121,7 @@
     stream.write_all(text.as_bytes()).is_ok()
 }
 
-fn read(stream: &mut net::TcpStream) -> Option<String> {
+fn read_request(stream: &mut net::TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     loop {
--- a/crates/gateway/tests/testsuite/harness/mod.rs
+++ b/crates/gateway/tests/testsuite/harness/mod.rs
@@ -1,9 +1,9 @@
-//! A gateway, scripted endpoints and callers that speak bytes.
+//! A gateway, scripted endpoints, and callers that send raw bytes.
 
 mod caller;
 mod endpoint;
-mod stack;
+mod test_gateway;
 
 pub(crate) use caller::{Caller, Reply};
 pub(crate) use endpoint::{Endpoint, Step};
-pub(crate) use stack::{Stack, account, entries};
+pub(crate) use test_gateway::{TestGateway, account, entries};
--- a/crates/gateway/tests/testsuite/harness/stack.rs
+++ b/crates/gateway/tests/testsuite/harness/test_gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway that was told what to believe.
+//! A gateway with a configuration for tests.
 
 use std::{net, time};
 
@@ -12,23 +12,23 @@
 use crate::harness::{Caller, Endpoint, Reply};
 
 /// A running gateway.
-pub(crate) struct Stack {
-    /// Taken by [`Stack::stop`].
+pub(crate) struct TestGateway {
+    /// Taken by [`TestGateway::stop`].
     running: Option<(kernel::Kernel, Gateway)>,
     pub(crate) feed: Feed,
     pub(crate) addresses: Listen,
 }
 
-impl Stack {
-    /// Starts a gateway with nothing but its settings.
-    pub(crate) fn bare(change: impl FnOnce(&mut Settings)) -> Self {
+impl TestGateway {
+    /// Starts a gateway that has settings but no configuration.
+    pub(crate) fn unconfigured(change: impl FnOnce(&mut Settings)) -> Self {
         let free: net::SocketAddr = "127.0.0.1:0".parse().unwrap();
         let listen = Listen { callers: free, ready: free, metrics: Some(free), peers: free };
         let mut settings = Settings::new("host-1".into(), "a".into(), listen);
         settings.key_age = time::Duration::from_secs(60);
         settings.ready_age = time::Duration::from_secs(60);
-        // A gateway has no share of the fixed number of repeats in its first window, so the ratio
-        // alone must allow the repeats of the tests.
+        // A gateway has no share of the fixed number of retries in its first window, so the ratio alone
+        // must allow the retries of the tests.
         settings.retry_ratio = 5.0;
         change(&mut settings);
         let kernel = kernel::Kernel::builder().with_traffic_threads(1).start().unwrap();
@@ -38,15 +38,15 @@
         Self { running: Some((kernel, gateway)), feed, addresses }
     }
 
-    /// Starts a gateway in front of endpoints, with the routes of [`routes`].
+    /// Starts a gateway with the default configuration and `endpoints`.
     pub(crate) fn start(endpoints: &[&Endpoint]) -> Self {
-        let stack = Self::bare(|_| ());
-        stack.believe(endpoints);
-        stack
+        let test_gateway = Self::unconfigured(|_| ());
+        test_gateway.configure(endpoints);
+        test_gateway
     }
 
-    /// Tells the gateway of the usual configuration and these endpoints.
-    pub(crate) fn believe(&self, endpoints: &[&Endpoint]) {
+    /// Gives the gateway the default configuration and `endpoints`.
+    pub(crate) fn configure(&self, endpoints: &[&Endpoint]) {
         let own = Peer { address: self.addresses.peers, strength: Strength::UNKNOWN };
         self.feed.members(&[own]);
         self.feed.configure(config(1), Some(self.feed.now()));
@@ -57,13 +57,13 @@
         Caller::connect(self.addresses.callers)
     }
 
-    /// Sends one request on a connection of its own.
-    pub(crate) fn ask(&self, line: &str) -> Option<Reply> {
-        self.ask_with(line, &[])
+    /// Sends one request on its own connection.
+    pub(crate) fn request(&self, line: &str) -> Option<Reply> {
+        self.request_with(line, &[])
     }
 
-    /// Sends one request with further headers on a connection of its own.
-    pub(crate) fn ask_with(&self, line: &str, headers: &[(&str, &str)]) -> Option<Reply> {
+    /// Sends one request with further headers on its own connection.
+    pub(crate) fn request_with(&self, line: &str, headers: &[(&str, &str)]) -> Option<Reply> {
         let mut caller = self.caller();
         let mut all = vec![
             ("trefoildyke-request-id", "r1"),
@@ -72,10 +72,10 @@
         ];
         all.extend_from_slice(headers);
         caller.send(line, &all, "");
-        caller.reply()
+        caller.read_reply()
     }
 
-    /// Asks the gateways that read the store for the others.
+    /// Queries the gateways that read the store for the others.
     pub(crate) fn query_readers(&self) {
         let (kernel, _) = self.running.as_ref().unwrap();
         kernel.block_on(self.feed.query_readers());
@@ -90,7 +90,7 @@
     }
 }
 
-impl Drop for Stack {
+impl Drop for TestGateway {
     fn drop(&mut self) {
         if let Some((kernel, gateway)) = self.running.take() {
             drop(gateway);
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns list entries for endpoints, in their order `e0`, `e1` and so on.
+/// Returns list entries for endpoints, named `e0`, `e1` and so on in their order.
 pub(crate) fn entries(endpoints: &[&Endpoint]) -> Vec<RosterEntry> {
     let entry = |(number, endpoint): (usize, &&Endpoint)| RosterEntry {
         endpoint: format!("e{number}").as_str().into(),
@@ -142,7 +142,7 @@
     }
 }
 
-/// The usual configuration: a route for each kind.
+/// The default configuration: a route of each kind.
 fn config(version: u64) -> Config {
     Config {
         version,
@@ -159,18 +159,18 @@
     }
 }
 
-impl Stack {
-    /// Puts a changed version of the usual configuration in force.
+impl TestGateway {
+    /// Puts a changed version of the default configuration in force.
     pub(crate) fn reconfigure(&self, version: u64, change: impl FnOnce(&mut Config)) {
         let mut config = config(version);
         change(&mut config);
         self.feed.configure(config, Some(self.feed.now()));
     }
 
-    /// Waits until `holds` does, for five seconds at most.
-    pub(crate) fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    /// Waits until `condition` holds, for five seconds at most.
+    pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
         let end = time::Instant::now() + time::Duration::from_secs(5);
-        while !holds() {
+        while !condition() {
             assert!(time::Instant::now() < end, "not within five seconds: {what}");
             std::thread::sleep(time::Duration::from_millis(5));
         }
--- a/crates/gateway/tests/testsuite/keys.rs
+++ b/crates/gateway/tests/testsuite/keys.rs
@@ -1,21 +1,21 @@
-//! Keys, routes and how long they are believed.
+//! Keys and routes, and how long they stay valid.
 
 use std::time::Duration;
 
-use crate::harness::{Endpoint, Stack, Step, account};
+use crate::harness::{Endpoint, Step, TestGateway, account};
 
 fn endpoint() -> Endpoint {
     Endpoint::start(vec![vec![Step::Answer("x")]])
 }
 
-fn status(stack: &Stack, line: &str) -> u16 {
-    stack.ask(line).unwrap().status
+fn status(gateway: &TestGateway, line: &str) -> u16 {
+    gateway.request(line).unwrap().status
 }
 
 #[test]
-fn before_the_configuration_is_known_nothing_is_denied_for_good() {
-    let stack = Stack::bare(|_| ());
-    let reply = stack.ask("GET /once/").unwrap();
+fn requests_before_the_first_configuration_get_retry_after() {
+    let gateway = TestGateway::unconfigured(|_| ());
+    let reply = gateway.request("GET /once/").unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
 }
@@ -23,48 +23,50 @@
 #[test]
 fn unknown_routes_and_keys_are_denied() {
     let endpoint = endpoint();
-    let stack = Stack::start(&[&endpoint]);
-    assert_eq!(status(&stack, "GET /nowhere/"), 404);
-    stack.reconfigure(2, |config| config.accounts = vec![account("other")]);
-    assert_eq!(status(&stack, "GET /once/"), 401);
-    assert_eq!(status(&stack, "GET /open/"), 200);
+    let gateway = TestGateway::start(&[&endpoint]);
+    assert_eq!(status(&gateway, "GET /nowhere/"), 404);
+    gateway.reconfigure(2, |config| config.accounts = vec![account("other")]);
+    assert_eq!(status(&gateway, "GET /once/"), 401);
+    assert_eq!(status(&gateway, "GET /open/"), 200);
 }
 
 #[test]
-fn an_older_version_changes_nothing() {
+fn an_older_version_of_the_configuration_is_ignored() {
     let endpoint = endpoint();
-    let stack = Stack::start(&[&endpoint]);
-    stack.reconfigure(5, |config| config.accounts = vec![account("other")]);
-    stack.reconfigure(4, |_| ());
-    assert_eq!(status(&stack, "GET /once/"), 401);
+    let gateway = TestGateway::start(&[&endpoint]);
+    gateway.reconfigure(5, |config| config.accounts = vec![account("other")]);
+    gateway.reconfigure(4, |_| ());
+    assert_eq!(status(&gateway, "GET /once/"), 401);
 }
 
-/// A key that was taken away must not work at a daemon that cannot hear of it.
+/// A revoked key must not work at a daemon that cannot hear of the revocation.
 #[test]
-fn keys_fail_closed_once_the_last_confirmation_is_too_old() {
+fn keys_are_refused_when_the_last_confirmation_is_too_old() {
     let endpoint = endpoint();
-    let stack = Stack::bare(|settings| settings.key_age = Duration::from_millis(400));
-    stack.believe(&[&endpoint]);
-    assert_eq!(status(&stack, "GET /once/"), 200);
+    let gateway =
+        TestGateway::unconfigured(|settings| settings.key_age = Duration::from_millis(400));
+    gateway.configure(&[&endpoint]);
+    assert_eq!(status(&gateway, "GET /once/"), 200);
     std::thread::sleep(Duration::from_millis(450));
-    let reply = stack.ask("GET /once/").unwrap();
+    let reply = gateway.request("GET /once/").unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
-    // What is not known to be in force is not denied for good either.
-    assert_eq!(status(&stack, "GET /nowhere/"), 503);
-    assert_eq!(status(&stack, "GET /open/"), 200);
-    assert_eq!(endpoint.seen().len(), 2);
-    stack.feed.confirm(stack.feed.now());
-    assert_eq!(status(&stack, "GET /once/"), 200);
+    // A configuration that may be out of date must not cause a permanent denial either.
+    assert_eq!(status(&gateway, "GET /nowhere/"), 503);
+    assert_eq!(status(&gateway, "GET /open/"), 200);
+    assert_eq!(endpoint.requests().len(), 2);
+    gateway.feed.confirm(gateway.feed.now());
+    assert_eq!(status(&gateway, "GET /once/"), 200);
 }
 
 #[test]
-fn a_late_confirmation_counts_as_of_its_question() {
+fn a_late_confirmation_counts_from_the_time_of_its_query() {
     let endpoint = endpoint();
-    let stack = Stack::bare(|settings| settings.key_age = Duration::from_millis(300));
-    stack.believe(&[&endpoint]);
-    let asked = stack.feed.now();
+    let gateway =
+        TestGateway::unconfigured(|settings| settings.key_age = Duration::from_millis(300));
+    gateway.configure(&[&endpoint]);
+    let asked = gateway.feed.now();
     std::thread::sleep(Duration::from_millis(350));
-    stack.feed.confirm(asked);
-    assert_eq!(status(&stack, "GET /once/"), 503);
+    gateway.feed.confirm(asked);
+    assert_eq!(status(&gateway, "GET /once/"), 503);
 }
--- a/crates/gateway/tests/testsuite/main.rs
+++ b/crates/gateway/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway against scripted endpoints on loopback.
+//! Tests of the gateway with scripted endpoints on loopback.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests unwrap as tests do")]
 
--- a/crates/gateway/tests/testsuite/peers.rs
+++ b/crates/gateway/tests/testsuite/peers.rs
@@ -1,4 +1,4 @@
-//! Several gateways before the same endpoints.
+//! Several gateways with the same endpoints.
 
 use std::{net, sync, sync::atomic, thread, time::Duration};
 
@@ -7,30 +7,30 @@
 };
 use trefoildyke_types::time::Timestamp;
 
-use crate::harness::{Endpoint, Stack, Step};
+use crate::harness::{Endpoint, Step, TestGateway};
 
 fn peer(address: net::SocketAddr) -> Peer {
     Peer { address, strength: Strength::UNKNOWN }
 }
 
-fn meet(stacks: &[Stack]) {
-    let members: Vec<_> = stacks.iter().map(|stack| peer(stack.addresses.peers)).collect();
-    for stack in stacks {
-        stack.feed.members(&members);
+fn connect(gateways: &[TestGateway]) {
+    let members: Vec<_> = gateways.iter().map(|gateway| peer(gateway.addresses.peers)).collect();
+    for gateway in gateways {
+        gateway.feed.members(&members);
     }
-    // Each tells the others at least every quarter of a second.
+    // Each gateway sends the others a digest at least every quarter of a second.
     thread::sleep(Duration::from_millis(400));
 }
 
 /// Four slots, and eight requests at two gateways: no more than four run at a time.
 #[test]
-fn gateways_that_hear_each_other_do_not_send_more_than_the_slots() {
+fn connected_gateways_do_not_exceed_the_slots_of_an_endpoint() {
     let script = vec![Step::Pause(Duration::from_millis(300)), Step::Answer("x")];
     let endpoint = Endpoint::start(vec![script]);
-    let stacks = [Stack::start(&[&endpoint]), Stack::start(&[&endpoint])];
-    meet(&stacks);
-    let send = |stack: &Stack| {
-        let mut caller = stack.caller();
+    let gateways = [TestGateway::start(&[&endpoint]), TestGateway::start(&[&endpoint])];
+    connect(&gateways);
+    let send = |gateway: &TestGateway| {
+        let mut caller = gateway.caller();
         caller.send(
             "GET /once/",
             &[("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")],
@@ -38,58 +38,57 @@
         );
         caller
     };
-    let mut callers: Vec<_> = (0..4).map(|_| send(&stacks[0])).collect();
+    let mut callers: Vec<_> = (0..4).map(|_| send(&gateways[0])).collect();
     thread::sleep(Duration::from_millis(150));
-    callers.extend((0..4).map(|_| send(&stacks[1])));
+    callers.extend((0..4).map(|_| send(&gateways[1])));
     thread::sleep(Duration::from_millis(80));
-    assert_eq!(endpoint.seen().len(), 4);
+    assert_eq!(endpoint.requests().len(), 4);
     for caller in &mut callers {
-        assert_eq!(caller.reply().unwrap().status, 200);
+        assert_eq!(caller.read_reply().unwrap().status, 200);
     }
 }
 
-/// Four requests run, and one more waits at each gateway: the more urgent one goes first, wherever
-/// it is.
+/// Four requests run, and more wait at each gateway: the more urgent ones go first, wherever they wait.
 #[test]
-fn the_most_urgent_request_of_all_gateways_goes_first() {
+fn the_most_urgent_request_of_all_gateways_is_sent_first() {
     let script = vec![Step::Pause(Duration::from_millis(500)), Step::Answer("x")];
     let endpoint = Endpoint::start(vec![script]);
-    let stacks = [Stack::start(&[&endpoint]), Stack::start(&[&endpoint])];
-    for stack in &stacks {
-        stack.reconfigure(2, |config| config.routes[1].priority = 2);
+    let gateways = [TestGateway::start(&[&endpoint]), TestGateway::start(&[&endpoint])];
+    for gateway in &gateways {
+        gateway.reconfigure(2, |config| config.routes[1].priority = 2);
     }
-    meet(&stacks);
-    let send = |stack: &Stack, line: &str, id: &str| {
-        let mut caller = stack.caller();
+    connect(&gateways);
+    let send = |gateway: &TestGateway, line: &str, id: &str| {
+        let mut caller = gateway.caller();
         caller.send(line, &[("trefoildyke-request-id", id), ("trefoildyke-key", "k1")], "");
         thread::sleep(Duration::from_millis(20));
         caller
     };
     let mut callers = Vec::new();
     for number in 0..4 {
-        callers.push(send(&stacks[number % 2], "GET /again/", "running"));
+        callers.push(send(&gateways[number % 2], "GET /again/", "running"));
     }
-    callers.push(send(&stacks[0], "GET /again/", "lesser"));
-    callers.push(send(&stacks[1], "GET /once/", "urgent"));
-    callers.push(send(&stacks[1], "GET /again/", "lesser"));
-    callers.push(send(&stacks[0], "GET /once/", "urgent"));
+    callers.push(send(&gateways[0], "GET /again/", "lesser"));
+    callers.push(send(&gateways[1], "GET /once/", "urgent"));
+    callers.push(send(&gateways[1], "GET /again/", "lesser"));
+    callers.push(send(&gateways[0], "GET /once/", "urgent"));
     for caller in &mut callers {
-        assert_eq!(caller.reply().unwrap().status, 200);
+        assert_eq!(caller.read_reply().unwrap().status, 200);
     }
-    let seen = endpoint.seen();
-    let order: Vec<_> = seen.iter().map(|seen| seen.contains("id: urgent")).collect();
+    let requests = endpoint.requests();
+    let order: Vec<_> = requests.iter().map(|request| request.contains("id: urgent")).collect();
     assert_eq!(order[4..], [true, true, false, false]);
 }
 
-/// A daemon that is heard, is to place all requests, and answers none of the questions.
-struct Mute {
+/// A daemon that sends digests and is chosen to place requests, but replies to no request for a slot.
+struct SilentPeer {
     address: net::SocketAddr,
     asked: sync::Arc<atomic::AtomicUsize>,
     ended: sync::Arc<atomic::AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Mute {
+impl SilentPeer {
     fn start(others: Vec<net::SocketAddr>) -> Self {
         let socket = net::UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
@@ -119,7 +118,7 @@
     }
 }
 
-impl Drop for Mute {
+impl Drop for SilentPeer {
     fn drop(&mut self) {
         self.ended.store(true, atomic::Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -129,25 +128,26 @@
 }
 
 #[test]
-fn a_request_is_served_though_the_daemon_that_is_to_place_it_answers_nothing() {
+fn a_request_is_served_when_its_placer_does_not_reply() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
-    let stack = Stack::start(&[&endpoint]);
-    // One of several mute daemons stands before this one, as the gateway is new.
-    let mutes: Vec<_> = (0..2).map(|_| Mute::start(vec![stack.addresses.peers])).collect();
-    let members = mutes.iter().map(|mute| mute.address).chain([stack.addresses.peers]);
-    stack.feed.members(&members.map(peer).collect::<Vec<_>>());
+    let gateway = TestGateway::start(&[&endpoint]);
+    // One of the silent daemons is asked before this gateway, because this one has just started.
+    let peers: Vec<_> = (0..2).map(|_| SilentPeer::start(vec![gateway.addresses.peers])).collect();
+    let members = peers.iter().map(|peer| peer.address).chain([gateway.addresses.peers]);
+    gateway.feed.members(&members.map(peer).collect::<Vec<_>>());
     thread::sleep(Duration::from_millis(200));
     // The route's timeout is two seconds.
-    assert_eq!(stack.ask("GET /once/").unwrap().status, 200);
-    let asked = || mutes.iter().map(|mute| mute.asked.load(atomic::Ordering::Relaxed)).sum();
+    assert_eq!(gateway.request("GET /once/").unwrap().status, 200);
+    let asked = || peers.iter().map(|peer| peer.asked.load(atomic::Ordering::Relaxed)).sum();
     let before: usize = asked();
     assert!(before >= 2, "nobody was asked");
-    // Whoever did not answer is not asked again at once.
-    assert_eq!(stack.ask("GET /once/").unwrap().status, 200);
+    // A daemon that did not reply is not asked again at once.
+    assert_eq!(gateway.request("GET /once/").unwrap().status, 200);
     assert_eq!(asked(), before);
 }
 
-/// Returns a socket of a daemon that would keep the account's bucket only after the one at `own`.
+/// Returns the socket of a daemon that keeps the account's bucket only as second keeper, after the one at
+/// `own`.
 fn second_keeper(own: net::SocketAddr) -> net::UdpSocket {
     loop {
         let socket = net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -159,24 +159,24 @@
     }
 }
 
-/// A charge that is no number would fill the bucket anew, and a refund of less than nothing would empty it.
+/// A charge that is not a number would fill the bucket, and a negative refund would empty it.
 #[test]
-fn charges_and_refunds_without_a_sensible_cost_are_not_taken_in() {
+fn charges_and_refunds_with_an_invalid_cost_are_ignored() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
-    let stack = Stack::start(&[&endpoint]);
-    // One request a second at most.
-    stack.reconfigure(2, |config| {
+    let gateway = TestGateway::start(&[&endpoint]);
+    // The quota is one request in two seconds, with a burst of four.
+    gateway.reconfigure(2, |config| {
         config.accounts[0].rate = 0.5;
         config.accounts[0].burst = 4.0;
         config.accounts[0].unit = AccountUnit::Requests;
     });
-    let own = stack.addresses.peers;
+    let own = gateway.addresses.peers;
     let socket = second_keeper(own);
-    stack.feed.members(&[peer(own), peer(socket.local_addr().unwrap())]);
+    gateway.feed.members(&[peer(own), peer(socket.local_addr().unwrap())]);
     let send = |message: &Message| {
         socket.send_to(&rmp_serde::to_vec(message).unwrap(), own).unwrap();
     };
-    let status = || stack.ask("GET /once/").unwrap().status;
+    let status = || gateway.request("GET /once/").unwrap().status;
     assert!((0..5).any(|_| status() == 429), "the bucket does not empty");
     for cost in [f64::NAN, f64::INFINITY, -1e300] {
         send(&Message::Charge(Charge { number: 1, account: "cascadia".into(), cost }));
@@ -189,15 +189,15 @@
     assert_eq!(status(), 200, "it does not refill");
 }
 
-/// The reply to the first question is lost, so the daemon asks once more.
+/// The reply to the first request for a slot is lost, so the daemon repeats the request.
 #[test]
-fn a_daemon_that_asks_again_is_told_of_the_place_that_it_has() {
+fn a_repeated_request_for_a_slot_gets_the_same_grant() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
-    let stack = Stack::start(&[&endpoint]);
+    let gateway = TestGateway::start(&[&endpoint]);
     let socket = net::UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
-    let own = stack.addresses.peers;
-    stack.feed.members(&[peer(own), peer(socket.local_addr().unwrap())]);
+    let own = gateway.addresses.peers;
+    gateway.feed.members(&[peer(own), peer(socket.local_addr().unwrap())]);
     let now = Timestamp::ZERO;
     let demand = Demand {
         route: 0,
@@ -229,37 +229,37 @@
 }
 
 #[test]
-fn a_quota_holds_over_gateways_that_hear_each_other_and_over_those_that_do_not() {
+fn a_quota_holds_for_connected_and_for_disconnected_gateways() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
-    let stacks = [Stack::start(&[&endpoint]), Stack::start(&[&endpoint])];
-    for stack in &stacks {
-        stack.reconfigure(2, |config| {
+    let gateways = [TestGateway::start(&[&endpoint]), TestGateway::start(&[&endpoint])];
+    for gateway in &gateways {
+        gateway.reconfigure(2, |config| {
             config.accounts[0].rate = 10.0;
             config.accounts[0].burst = 20.0;
             config.accounts[0].unit = AccountUnit::Requests;
         });
     }
-    meet(&stacks);
+    connect(&gateways);
     let serve = |seconds: u64| {
         let end = std::time::Instant::now() + Duration::from_secs(seconds);
         let mut served = 0;
         while std::time::Instant::now() < end {
-            for stack in &stacks {
-                served += u32::from(stack.ask("GET /once/").unwrap().status == 200);
+            for gateway in &gateways {
+                served += u32::from(gateway.request("GET /once/").unwrap().status == 200);
             }
             thread::sleep(Duration::from_millis(20));
         }
         served
     };
-    // Twelve and a half a second; beside it the bucket and what both admit at the same moment.
+    // At most 12.5 per second, in addition to the bucket and what both gateways admit at the same moment.
     let served = serve(2);
     assert!((20..=45).contains(&served), "{served}");
-    // Now each counts on hearing one that is not there.
-    let nobody: Vec<_> =
+    // Each gateway now has a member that does not exist in place of the other gateway.
+    let missing: Vec<_> =
         (1..=1).map(|port| net::SocketAddr::from(([127, 0, 0, 1], port))).collect();
-    for stack in &stacks {
-        let own = stack.addresses.peers;
-        stack.feed.members(&[peer(own), peer(nobody[0])]);
+    for gateway in &gateways {
+        let own = gateway.addresses.peers;
+        gateway.feed.members(&[peer(own), peer(missing[0])]);
     }
     thread::sleep(Duration::from_millis(1_100));
     let served = serve(2);
@@ -275,24 +275,25 @@
     );
     let limited = Endpoint::start(vec![vec![limited]]);
     let other = Endpoint::start(vec![vec![Step::Answer("y")]]);
-    let stacks = [Stack::start(&[&limited, &other]), Stack::start(&[&limited, &other])];
-    meet(&stacks);
+    let gateways =
+        [TestGateway::start(&[&limited, &other]), TestGateway::start(&[&limited, &other])];
+    connect(&gateways);
     let send_requests = |duration| {
         let end = std::time::Instant::now() + duration;
         let mut number = 0;
         while std::time::Instant::now() < end {
-            let reply = stacks[number % 2].ask("GET /once/").unwrap();
+            let reply = gateways[number % 2].request("GET /once/").unwrap();
             assert_eq!(reply.status, 200);
             thread::sleep(Duration::from_millis(5));
             number += 1;
         }
     };
     send_requests(Duration::from_millis(500));
-    let (before, before_other) = (limited.seen().len(), other.seen().len());
+    let (before, before_other) = (limited.requests().len(), other.requests().len());
     send_requests(Duration::from_millis(3_000));
-    let count = limited.seen().len() - before;
+    let count = limited.requests().len() - before;
     // The upper bound is one and a half times the limit plus five.
     assert!(count <= 14, "{count} requests in 3 s");
     assert!(count >= 4, "{count} requests in 3 s: the limit is not used");
-    assert!(other.seen().len() - before_other > 100);
+    assert!(other.requests().len() - before_other > 100);
 }
--- a/crates/gateway/tests/testsuite/quotas.rs
+++ b/crates/gateway/tests/testsuite/quotas.rs
@@ -1,45 +1,46 @@
-//! Quotas at the door.
+//! Quotas of client accounts.
 
 use trefoildyke_decide::gateway::{AccountUnit, Peer, Strength};
 
-use crate::harness::{Endpoint, Stack, Step};
+use crate::harness::{Endpoint, Step, TestGateway};
 
 #[test]
-fn what_is_beyond_the_quota_is_refused_with_a_time_to_come_back_and_runs_nowhere() {
+fn requests_over_the_quota_are_refused_with_retry_after_and_do_not_run() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
-    let stack = Stack::start(&[&endpoint]);
-    stack.reconfigure(2, |config| {
+    let gateway = TestGateway::start(&[&endpoint]);
+    gateway.reconfigure(2, |config| {
         config.accounts[0].rate = 10.0;
         config.accounts[0].burst = 0.0;
         config.accounts[0].unit = AccountUnit::Tokens { undeclared: 1 };
     });
     std::thread::sleep(std::time::Duration::from_millis(500));
     let tokens = [("trefoildyke-tokens", "2,2")];
-    assert_eq!(stack.ask_with("GET /once/", &tokens).unwrap().status, 200);
-    let reply = stack.ask_with("GET /once/", &tokens).unwrap();
+    assert_eq!(gateway.request_with("GET /once/", &tokens).unwrap().status, 200);
+    let reply = gateway.request_with("GET /once/", &tokens).unwrap();
     assert_eq!(reply.status, 429);
     let after: f64 = reply.header("retry-after").unwrap().parse().unwrap();
     assert!((0.1..2.0).contains(&after), "{after}");
-    assert_eq!(endpoint.seen().len(), 1);
+    assert_eq!(endpoint.requests().len(), 1);
 }
 
-// The list of members lacked two hosts, and each daemon kept them for as long as the store had, by its own view, answered for
-// less than four seconds. So lists differed for seconds more, parts of the quotas were given by nobody, and callers within
-// theirs were refused: 3,637 refusals where there had been 1,982. Members are kept only where the daemon's own entry had
-// lapsed: then others' may have as well.
+// Guards against members that stay in the lists of some daemons. When the list of members lacked two hosts,
+// each daemon kept them for as long as it believed that the store had answered for less than four seconds.
+// The lists differed for seconds, no daemon granted some shares of the quotas, and callers within their
+// quotas were refused: 3,637 refusals where there had been 1,982. Members are kept only where the daemon's
+// own entry had lapsed, because then the entries of others may have lapsed too.
 #[test]
-fn members_that_are_missing_are_kept_only_after_an_own_lapse() {
-    let stack = Stack::bare(|_| ());
+fn missing_members_are_kept_only_after_the_own_entry_lapsed() {
+    let gateway = TestGateway::unconfigured(|_| ());
     let peer = |address| Peer { address, strength: Strength::UNKNOWN };
-    let own = peer(stack.addresses.peers);
+    let own = peer(gateway.addresses.peers);
     let other = peer(([127, 0, 0, 1], 9).into());
     let listed = |list: &[Peer]| {
-        stack.feed.members(list);
-        stack.feed.member_count()
+        gateway.feed.members(list);
+        gateway.feed.member_count()
     };
     assert_eq!(listed(&[own, other]), 2);
     assert_eq!(listed(&[own]), 1);
     assert_eq!(listed(&[own, other]), 2);
-    stack.feed.rejoined();
+    gateway.feed.rejoined();
     assert_eq!(listed(&[own]), 2);
 }
--- a/crates/gateway/tests/testsuite/stops.rs
+++ b/crates/gateway/tests/testsuite/stops.rs
@@ -2,27 +2,28 @@
 
 use std::time::{Duration, Instant};
 
-use crate::harness::{Caller, Endpoint, Stack, Step};
+use crate::harness::{Caller, Endpoint, Step, TestGateway};
 
-fn ready(stack: &Stack) -> u16 {
-    let mut caller = Caller::connect(stack.addresses.ready);
+fn ready(gateway: &TestGateway) -> u16 {
+    let mut caller = Caller::connect(gateway.addresses.ready);
     caller.send("GET /ready", &[], "");
-    caller.reply().unwrap().status
+    caller.read_reply().unwrap().status
 }
 
 #[test]
-fn it_is_ready_only_with_a_fresh_configuration_and_endpoints() {
+fn the_gateway_is_ready_only_with_a_fresh_configuration_and_endpoints() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
-    let stack = Stack::bare(|settings| settings.ready_age = Duration::from_millis(300));
-    assert_eq!(ready(&stack), 503);
-    stack.believe(&[&endpoint]);
-    assert_eq!(ready(&stack), 200);
+    let gateway =
+        TestGateway::unconfigured(|settings| settings.ready_age = Duration::from_millis(300));
+    assert_eq!(ready(&gateway), 503);
+    gateway.configure(&[&endpoint]);
+    assert_eq!(ready(&gateway), 200);
     std::thread::sleep(Duration::from_millis(350));
-    assert_eq!(ready(&stack), 503);
+    assert_eq!(ready(&gateway), 503);
 }
 
 #[test]
-fn a_stop_cuts_nothing_and_serves_what_still_comes_while_the_balancer_notices() {
+fn a_stop_finishes_requests_and_serves_new_ones_for_a_while() {
     let endpoint = Endpoint::start(vec![
         vec![
             Step::Stream,
@@ -33,55 +34,55 @@
         ],
         vec![Step::Answer("late")],
     ]);
-    let stack = Stack::bare(|settings| settings.grace = Duration::from_secs(5));
-    stack.believe(&[&endpoint]);
-    let mut stream = stack.caller();
+    let gateway = TestGateway::unconfigured(|settings| settings.grace = Duration::from_secs(5));
+    gateway.configure(&[&endpoint]);
+    let mut stream = gateway.caller();
     stream.send("POST /stream/", &[("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")], "");
-    stream.first_part();
-    let addresses = stack.addresses;
+    stream.read_first_event();
+    let addresses = gateway.addresses;
     let stopping = std::thread::spawn(move || {
-        let begun = Instant::now();
-        (stack.stop(), begun.elapsed())
+        let started = Instant::now();
+        (gateway.stop(), started.elapsed())
     });
     std::thread::sleep(Duration::from_millis(300));
     let mut ready = Caller::connect(addresses.ready);
     ready.send("GET /ready", &[], "");
-    assert_eq!(ready.reply().unwrap().status, 503);
+    assert_eq!(ready.read_reply().unwrap().status, 503);
     let mut late = Caller::connect(addresses.callers);
     late.send("GET /once/", &[("trefoildyke-request-id", "l"), ("trefoildyke-key", "k1")], "");
-    let reply = late.reply().unwrap();
+    let reply = late.read_reply().unwrap();
     assert_eq!((reply.status, reply.body.as_str()), (200, "late"));
     assert_eq!(reply.header("connection"), Some("close"));
     assert!(late.is_closed());
-    assert!(stream.reply().unwrap().whole);
+    assert!(stream.read_reply().unwrap().is_complete);
     let (cut, took) = stopping.join().unwrap();
     assert_eq!(cut, 0);
     assert!(took < Duration::from_secs(5), "{took:?}");
 }
 
 #[test]
-fn a_stop_ends_at_its_grace_period_and_says_what_it_cut() {
+fn a_stop_ends_at_its_grace_period_and_counts_requests_cut_off() {
     let pause = Step::Pause(Duration::from_secs(30));
     let endpoint = Endpoint::start(vec![vec![Step::Stream, Step::Events("id: 1\n\n"), pause]]);
-    let stack = Stack::bare(|settings| settings.grace = Duration::from_secs(1));
-    stack.believe(&[&endpoint]);
-    let mut stream = stack.caller();
+    let gateway = TestGateway::unconfigured(|settings| settings.grace = Duration::from_secs(1));
+    gateway.configure(&[&endpoint]);
+    let mut stream = gateway.caller();
     stream.send("POST /stream/", &[("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")], "");
-    stream.first_part();
-    let begun = Instant::now();
-    assert_eq!(stack.stop(), 1);
-    assert!(begun.elapsed() < Duration::from_millis(1_500));
-    assert!(!stream.reply().unwrap().whole);
+    stream.read_first_event();
+    let started = Instant::now();
+    assert_eq!(gateway.stop(), 1);
+    assert!(started.elapsed() < Duration::from_millis(1_500));
+    assert!(!stream.read_reply().unwrap().is_complete);
 }
 
-/// An answer of 1,500 tokens takes six seconds at 4 ms a token.
+/// An answer of 1,500 tokens takes six seconds at 4 ms per token.
 #[test]
-fn an_answer_that_a_stop_would_cut_off_is_refused_and_a_short_one_served() {
+fn a_request_that_would_outlast_a_stop_is_refused_and_a_short_one_served() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("short")]]);
-    let stack = Stack::bare(|settings| settings.grace = Duration::from_secs(5));
-    stack.believe(&[&endpoint]);
-    let addresses = stack.addresses;
-    let stopping = std::thread::spawn(move || stack.stop());
+    let gateway = TestGateway::unconfigured(|settings| settings.grace = Duration::from_secs(5));
+    gateway.configure(&[&endpoint]);
+    let addresses = gateway.addresses;
+    let stopping = std::thread::spawn(move || gateway.stop());
     std::thread::sleep(Duration::from_millis(300));
     let ask = |tokens: &'static str| {
         let mut late = Caller::connect(addresses.callers);
@@ -92,7 +93,7 @@
             ("trefoildyke-length-hint", tokens.split(',').next_back().unwrap()),
         ];
         late.send("GET /once/", &headers, "");
-        late.reply().unwrap()
+        late.read_reply().unwrap()
     };
     let long = ask("20,1500");
     assert_eq!((long.status, long.header("connection")), (503, Some("close")));
--- a/crates/gateway/tests/testsuite/streams.rs
+++ b/crates/gateway/tests/testsuite/streams.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::harness::{Endpoint, Stack, Step};
+use crate::harness::{Endpoint, Step, TestGateway};
 
 #[test]
-fn events_come_as_they_are_made_and_the_end_is_whole() {
+fn events_are_forwarded_at_once_and_the_stream_ends_complete() {
     let endpoint = Endpoint::start(vec![vec![
         Step::Stream,
         Step::Events("id: 1\ndata: a\n\n"),
@@ -13,92 +13,92 @@
         Step::Events("id: 2\ndata: b\n\n"),
         Step::EndStream,
     ]]);
-    let stack = Stack::start(&[&endpoint]);
-    let mut caller = stack.caller();
-    let begun = std::time::Instant::now();
+    let gateway = TestGateway::start(&[&endpoint]);
+    let mut caller = gateway.caller();
+    let started = std::time::Instant::now();
     caller.send("POST /stream/", &[("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")], "");
-    assert!(caller.first_part().contains("data: a"));
-    assert!(begun.elapsed() < Duration::from_millis(250), "the first event was held back");
-    let reply = caller.reply().unwrap();
+    assert!(caller.read_first_event().contains("data: a"));
+    assert!(started.elapsed() < Duration::from_millis(250), "the first event was held back");
+    let reply = caller.read_reply().unwrap();
     assert_eq!(reply.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    assert!(reply.whole);
+    assert!(reply.is_complete);
     assert_eq!(reply.header("trefoildyke-seal"), Some("sealed-r"));
 }
 
 #[test]
-fn a_stream_that_breaks_never_looks_complete() {
+fn a_broken_stream_never_looks_complete() {
     for broken in [Step::Close, Step::Reset] {
         let script = vec![Step::Stream, Step::Events("id: 1\n\n"), broken];
         let endpoint = Endpoint::start(vec![script]);
-        let stack = Stack::start(&[&endpoint]);
-        let reply = stack.ask("POST /stream/").unwrap();
-        assert_eq!((reply.status, reply.whole), (200, false));
-        assert_eq!(endpoint.seen().len(), 1);
+        let gateway = TestGateway::start(&[&endpoint]);
+        let reply = gateway.request("POST /stream/").unwrap();
+        assert_eq!((reply.status, reply.is_complete), (200, false));
+        assert_eq!(endpoint.requests().len(), 1);
     }
 }
 
 #[test]
-fn an_end_in_the_middle_of_an_event_is_not_complete() {
+fn a_stream_that_ends_within_an_event_is_incomplete() {
     let script = vec![Step::Stream, Step::Events("id: 1\n\nid: 2\nda"), Step::EndStream];
     let endpoint = Endpoint::start(vec![script]);
-    let stack = Stack::start(&[&endpoint]);
-    let reply = stack.ask("POST /stream/").unwrap();
-    assert_eq!((reply.body.as_str(), reply.whole), ("id: 1\n\n", false));
+    let gateway = TestGateway::start(&[&endpoint]);
+    let reply = gateway.request("POST /stream/").unwrap();
+    assert_eq!((reply.body.as_str(), reply.is_complete), ("id: 1\n\n", false));
 }
 
-fn resumed(first: Vec<Step>) -> (crate::harness::Reply, Endpoint, Endpoint) {
+fn send_resumable(first: Vec<Step>) -> (crate::harness::Reply, Endpoint, Endpoint) {
     let rest = vec![Step::Stream, Step::Events("id: 3\ndata: c\n\n"), Step::EndStream];
     let (first, second) = (Endpoint::start(vec![first]), Endpoint::start(vec![rest]));
-    let stack = Stack::start(&[]);
+    let gateway = TestGateway::start(&[]);
     let mut entries = crate::harness::entries(&[&first, &second]);
     entries[1].zone = "b".into();
-    stack.feed.endpoints(entries);
-    let reply = stack.ask("POST /resume/").unwrap();
+    gateway.feed.endpoints(entries);
+    let reply = gateway.request("POST /resume/").unwrap();
     (reply, first, second)
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_endpoint_after_its_last_whole_event() {
+fn a_resumable_stream_is_resumed_after_its_last_complete_event() {
     for broken in [Step::Close, Step::Reset] {
-        let (reply, first, second) = resumed(vec![
+        let (reply, first, second) = send_resumable(vec![
             Step::Stream,
             Step::Events("id: 1\ndata: a\n\n"),
             Step::Events("id: 2\ndata: b\n\nid: 3\nda"),
             broken,
         ]);
         assert_eq!(reply.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-        assert!(reply.whole);
-        assert_eq!(first.seen().len(), 1);
-        let again = second.seen().remove(0).to_ascii_lowercase();
+        assert!(reply.is_complete);
+        assert_eq!(first.requests().len(), 1);
+        let again = second.requests().remove(0).to_ascii_lowercase();
         assert!(again.contains("last-event-id: 2"), "{again}");
         assert!(again.contains("trefoildyke-endpoint: e1"), "{again}");
     }
 }
 
 #[test]
-fn a_resumable_stream_that_falls_silent_goes_on_elsewhere_and_leaves_the_first_endpoint() {
+fn a_silent_resumable_stream_is_resumed_at_another_endpoint() {
     let silent = Step::Pause(Duration::from_secs(30));
     let (reply, first, second) =
-        resumed(vec![Step::Stream, Step::Events("id: 1\ndata: a\n\nid: 2\n\n"), silent]);
-    assert!(reply.whole, "{reply:?}");
-    assert_eq!((first.seen().len(), second.seen().len()), (1, 1));
+        send_resumable(vec![Step::Stream, Step::Events("id: 1\ndata: a\n\nid: 2\n\n"), silent]);
+    assert!(reply.is_complete, "{reply:?}");
+    assert_eq!((first.requests().len(), second.requests().len()), (1, 1));
 }
 
 #[test]
-fn a_stream_is_cut_at_the_timeout_of_its_route() {
+fn a_stream_is_cut_off_at_the_timeout_of_its_route() {
     let pause = Step::Pause(Duration::from_secs(30));
     let endpoint = Endpoint::start(vec![vec![Step::Stream, Step::Events("id: 1\n\n"), pause]]);
-    let stack = Stack::start(&[&endpoint]);
-    stack.reconfigure(2, |config| config.routes[2].timeout_ms = 400);
-    let begun = std::time::Instant::now();
-    let reply = stack.ask("POST /stream/").unwrap();
-    assert!(!reply.whole);
-    assert!(begun.elapsed() < Duration::from_millis(900));
+    let gateway = TestGateway::start(&[&endpoint]);
+    gateway.reconfigure(2, |config| config.routes[2].timeout_ms = 400);
+    let started = std::time::Instant::now();
+    let reply = gateway.request("POST /stream/").unwrap();
+    assert!(!reply.is_complete);
+    assert!(started.elapsed() < Duration::from_millis(900));
 }
 
-/// Silence is waited out if the retry budget does not pay for another endpoint.
+/// A silent stream is waited for if the retry budget does not allow a resumption.
 #[test]
-fn a_silent_stream_that_may_not_be_sent_again_is_not_given_up() {
+fn a_silent_stream_without_retry_budget_is_not_aborted() {
     let endpoint = Endpoint::start(vec![vec![
         Step::Stream,
         Step::Events("id: 1\n\n"),
@@ -106,12 +106,12 @@
         Step::Events("id: 2\n\n"),
         Step::EndStream,
     ]]);
-    let stack = Stack::bare(|settings| {
+    let gateway = TestGateway::unconfigured(|settings| {
         settings.retry_ratio = 0.0;
         settings.retry_fixed = 0.0;
     });
-    stack.believe(&[&endpoint]);
-    stack.reconfigure(2, |config| config.routes[3].timeout_ms = 4_000);
-    let reply = stack.ask_with("POST /resume/", &[]).unwrap();
-    assert_eq!((reply.body.as_str(), reply.whole), ("id: 1\n\nid: 2\n\n", true));
+    gateway.configure(&[&endpoint]);
+    gateway.reconfigure(2, |config| config.routes[3].timeout_ms = 4_000);
+    let reply = gateway.request_with("POST /resume/", &[]).unwrap();
+    assert_eq!((reply.body.as_str(), reply.is_complete), ("id: 1\n\nid: 2\n\n", true));
 }
