--- a/crates/gateway/src/ingress/call.rs
+++ b/crates/gateway/src/ingress/call.rs
@@ -79,7 +79,7 @@
         let wait_limit = wait_limit.map_or(DEFAULT_DEADLINE, time::Duration::from_millis);
         let body = read_body(&admission, body).await?;
         let fingerprint = admission.fingerprint(&head, &body);
-        let tokens = tokens(names::text(&head.headers, &names.tokens));
+        let tokens = parse_tokens(names::text(&head.headers, &names.tokens));
         let arrived = access.arrived();
         let route = &admission.route;
         let limit = wait_limit.min(time::Duration::from_millis(route.timeout_ms));
@@ -87,7 +87,8 @@
         let model = names::text(&head.headers, &names.model).unwrap_or_default();
         let parts = names::text(&head.headers, &names.parts);
         let parts = parts.map_or_else(Vec::new, |text| gateway::prompt_parts(model, text));
-        let expected = expected(max_tokens, names::number(&head.headers, &names.length_hint));
+        let expected =
+            expected_tokens(max_tokens, names::number(&head.headers, &names.length_hint));
         let spent = shared.core().deadlines.spent(&route.name, wait_limit);
         let cost = admission.cost(tokens);
         let rank = rank(route, admission.account.as_ref());
@@ -254,13 +255,13 @@
 const UNHINTED_SHARE: f64 = 0.1;
 
 /// Returns the expected number of tokens of the answer.
-fn expected(limit: u32, hint: Option<u64>) -> f64 {
+fn expected_tokens(limit: u32, hint: Option<u64>) -> f64 {
     let limit = f64::from(limit);
     hint.map_or(limit * UNHINTED_SHARE, |hint| (hint as f64 * HINT_BIAS).min(limit))
 }
 
 /// Parses the declared tokens: those of the prompt and the maximum to generate.
-fn tokens(text: Option<&str>) -> Option<(u32, u32)> {
+fn parse_tokens(text: Option<&str>) -> Option<(u32, u32)> {
     let (prompt, max_tokens) = text?.split_once(',')?;
     Some((prompt.trim().parse().ok()?, max_tokens.trim().parse().ok()?))
 }
--- a/crates/gateway/src/ingress/headers.rs
+++ b/crates/gateway/src/ingress/headers.rs
@@ -24,16 +24,16 @@
     body: Bytes,
 ) -> hyper::Request<Full<Bytes>> {
     let mut headers = head.headers.clone();
-    strip_hop(&mut headers);
-    let own = [&names.key, &names.account, &names.expected_endpoint, &names.deadline];
-    for name in own.into_iter().chain(&names.reserved) {
+    strip_hop_by_hop(&mut headers);
+    let internal = [&names.key, &names.account, &names.expected_endpoint, &names.deadline];
+    for name in internal.into_iter().chain(&names.reserved) {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     let has_body = !body.is_empty() || head.headers.contains_key(header::CONTENT_LENGTH);
     let mut request = hyper::Request::new(Full::new(body));
-    if has_body && request_length(&request) == 0 {
+    if has_body && body_length(&request) == 0 {
         headers.insert(header::CONTENT_LENGTH, header::HeaderValue::from_static("0"));
     }
     *request.method_mut() = head.method.clone();
@@ -50,7 +50,7 @@
     status: hyper::StatusCode,
     body: ingress::Body,
 ) -> hyper::Response<ingress::Body> {
-    strip_hop(&mut headers);
+    strip_hop_by_hop(&mut headers);
     if shared.is_stopping() {
         headers.insert(header::CONNECTION, header::HeaderValue::from_static("close"));
     }
@@ -60,7 +60,7 @@
     response
 }
 
-fn strip_hop(headers: &mut HeaderMap) {
+fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<header::HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -76,7 +76,7 @@
     headers.remove("proxy-connection");
 }
 
-fn request_length(request: &hyper::Request<Full<Bytes>>) -> u64 {
+fn body_length(request: &hyper::Request<Full<Bytes>>) -> u64 {
     use hyper::body::Body as _;
     request.body().size_hint().exact().unwrap_or(0)
 }
--- a/crates/gateway/src/query.rs
+++ b/crates/gateway/src/query.rs
@@ -75,16 +75,16 @@
     pub async fn query_readers(&self) -> Readers {
         let mut found = Readers::Unheard;
         let readers = self.shared.core().mesh.readers_to_ask(self.now());
-        for (place, reader) in readers.into_iter().enumerate() {
-            let asked = self.now();
+        for (index, reader) in readers.into_iter().enumerate() {
+            let sent_at = self.now();
             let roster = self.shared.core().roster.mark();
             let quarantine = self.shared.core().quarantine.mark();
             let rollouts = self.shared.core().rollouts.mark();
             // Only the first reader counts this daemon as its client.
-            let is_first = place == 0;
+            let is_first = index == 0;
             let hub_mark =
-                if is_first { self.shared.core().mesh.told_hub_mark(asked) } else { NO_HUBS };
-            let stamp = asked.as_micros();
+                if is_first { self.shared.core().mesh.told_hub_mark(sent_at) } else { NO_HUBS };
+            let stamp = sent_at.as_micros();
             let query = gateway::Message::Query { stamp, roster, hub_mark, quarantine, rollouts };
             let Some(reply) = query_one(&self.shared, reader, stamp, &query).await else {
                 continue;
@@ -100,7 +100,7 @@
                 Readers::Fresh(version) => Readers::Fresh(version.max(reply.view.version)),
                 Readers::Silent | Readers::Unheard => Readers::Fresh(reply.view.version),
             };
-            if self.apply_reply(asked, roster, reply) {
+            if self.apply_reply(sent_at, roster, reply) {
                 return found;
             }
         }
@@ -137,20 +137,20 @@
         self.shared.core().roster.is_current(self.now(), self.shared.settings.list_age)
     }
 
-    /// Applies a reply to a query that was sent at `asked` with the mark `roster` of this daemon's list of
+    /// Applies a reply to a query that was sent at `sent_at` with the mark `roster` of this daemon's list of
     /// endpoints.
     ///
-    /// The daemon replied after `asked`, so its knowledge is at most as old as it said, counted from
-    /// `asked`. An age that reaches back to before the start of this daemon is cut off there: the version
+    /// The daemon replied after `sent_at`, so its knowledge is at most as old as it said, counted from
+    /// `sent_at`. An age that reaches back to before the start of this daemon is cut off there: the version
     /// in force here was read since then. The model is `passed_keys` in `trefoildyke_spec`.
     ///
     /// Returns whether the list of endpoints could be followed as well; if not, the next reader has to be
     /// queried.
-    fn apply_reply(&self, asked: Timestamp, roster: u64, reply: Reply) -> bool {
+    fn apply_reply(&self, sent_at: Timestamp, roster: u64, reply: Reply) -> bool {
         let view = reply.view;
         let before = |ms: u32| {
             let age = u64::from(ms) * 1_000;
-            Timestamp::from_micros(asked.as_micros().saturating_sub(age))
+            Timestamp::from_micros(sent_at.as_micros().saturating_sub(age))
         };
         let mut core = self.shared.core();
         let own = core.table.as_ref().map(|table| table.config().version);
--- a/crates/gateway/src/record/journal.rs
+++ b/crates/gateway/src/record/journal.rs
@@ -33,7 +33,7 @@
 }
 
 #[derive(serde::Serialize)]
-struct Line<'a> {
+struct EventLine<'a> {
     at_ms: u64,
     host: &'a str,
     #[serde(flatten)]
@@ -41,7 +41,7 @@
 }
 
 #[derive(serde::Serialize)]
-struct Text<'a> {
+struct LogLine<'a> {
     at_ms: u64,
     host: &'a str,
     event: &'static str,
@@ -57,9 +57,9 @@
     ///
     /// Fails if the thread cannot be started.
     pub fn start(host: id::HostName) -> std::io::Result<(Self, thread::JoinHandle<()>)> {
-        let (lines, waiting) = sync::mpsc::sync_channel(CAPACITY);
+        let (lines, queue) = sync::mpsc::sync_channel(CAPACITY);
         let writer = thread::Builder::new().name("journal".to_owned());
-        let writer = writer.spawn(move || write_all(&waiting))?;
+        let writer = writer.spawn(move || write_lines(&queue))?;
         Ok((Self { host, lines, dropped: Dropped::default() }, writer))
     }
 
@@ -70,7 +70,7 @@
 
     /// Writes one event.
     pub fn write(&self, event: &Event) {
-        self.send(&Line { at_ms: unix_ms(), host: self.host.as_str(), event });
+        self.send(&EventLine { at_ms: unix_ms(), host: self.host.as_str(), event });
     }
 
     fn send(&self, line: &impl serde::Serialize) {
@@ -98,7 +98,7 @@
 
 impl log4rs::append::Append for Journal {
     fn append(&self, record: &log::Record<'_>) -> anyhow::Result<()> {
-        self.send(&Text {
+        self.send(&LogLine {
             at_ms: unix_ms(),
             host: self.host.as_str(),
             event: "log",
@@ -113,11 +113,11 @@
 }
 
 /// Writes queued lines, many at a time.
-fn write_all(waiting: &sync::mpsc::Receiver<Vec<u8>>) {
+fn write_lines(queue: &sync::mpsc::Receiver<Vec<u8>>) {
     let mut out = std::io::stdout();
-    while let Ok(mut lines) = waiting.recv() {
+    while let Ok(mut lines) = queue.recv() {
         while lines.len() < 32 << 10
-            && let Ok(line) = waiting.try_recv()
+            && let Ok(line) = queue.try_recv()
         {
             lines.extend_from_slice(&line);
         }
--- a/crates/gateway/src/state/peer_requests.rs
+++ b/crates/gateway/src/state/peer_requests.rs
@@ -25,7 +25,7 @@
         let demand = ask.demand(now);
         let rank = demand.rank;
         if let Some(queued) = self.peer_requests.get_mut(&key) {
-            queued.seen = now;
+            queued.last_seen = now;
             return self.reply_queued(now, key, rank);
         }
         if let Some(recent) = self.recent_grants.get(&key) {
@@ -41,7 +41,7 @@
             gateway::Verdict::Refused(refused) => self.send_refusal(key, refused),
             gateway::Verdict::Queued(ticket) => {
                 self.waiters.insert(ticket, Waiter::Peer(key));
-                self.peer_requests.insert(key, QueuedAsk { ticket, seen: now });
+                self.peer_requests.insert(key, QueuedAsk { ticket, last_seen: now });
                 self.reply_queued(now, key, rank);
                 self.dispatch(now);
             }
@@ -107,7 +107,8 @@
     pub(crate) fn expire(&mut self, now: Timestamp) {
         self.pool.expire_peers(now);
         self.recent_grants.retain(|_, recent| now.since(recent.at) < GRANT_RETENTION);
-        let is_expired = |(_, queued): &(&AskKey, &QueuedAsk)| now.since(queued.seen) > ASK_TIMEOUT;
+        let is_expired =
+            |(_, queued): &(&AskKey, &QueuedAsk)| now.since(queued.last_seen) > ASK_TIMEOUT;
         let expired: Vec<_> =
             self.peer_requests.iter().filter(is_expired).map(|(key, _)| *key).collect();
         for key in expired {
--- a/crates/gateway/src/state/service.rs
+++ b/crates/gateway/src/state/service.rs
@@ -58,7 +58,7 @@
 pub(super) struct QueuedAsk {
     pub(super) ticket: gateway::Ticket,
     /// When its daemon last said that it still waits.
-    pub(super) seen: Timestamp,
+    pub(super) last_seen: Timestamp,
 }
 
 /// A grant that was sent to another daemon.
--- a/crates/gateway/tests/testsuite/crashes.rs
+++ b/crates/gateway/tests/testsuite/crashes.rs
@@ -36,7 +36,7 @@
     assert_eq!(endpoint.requests().len(), 1);
 }
 
-/// Lists all endpoints so that only the one at `place` gets new work.
+/// Lists all endpoints so that only the one at `index` gets new work.
 fn only_active(index: usize, endpoints: &[Endpoint]) -> Vec<RosterEntry> {
     let mut entries = harness::entries(&endpoints.iter().collect::<Vec<_>>());
     for (number, entry) in entries.iter_mut().enumerate() {
