--- a/crates/gateway/src/face/headers.rs
+++ b/crates/gateway/src/ingress/headers.rs
@@ -1,13 +1,13 @@
-//! Which headers are passed on.
+//! Rules for forwarding headers.
 
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, header};
 
-use crate::{face, names::HeaderNames, state};
+use crate::{ingress, names::HeaderNames, state};
 
-/// Headers that concern one connection only, beside those that `Connection` names.
-const HOP: [header::HeaderName; 7] = [
+/// Hop-by-hop headers, in addition to those that `Connection` names.
+const HOP_BY_HOP: [header::HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -24,16 +24,16 @@
     body: Bytes,
 ) -> hyper::Request<Full<Bytes>> {
     let mut headers = head.headers.clone();
-    strip_hop(&mut headers);
-    let own = [&names.key, &names.account, &names.expected_endpoint, &names.deadline];
-    for name in own.into_iter().chain(&names.reserved) {
+    strip_hop_by_hop(&mut headers);
+    let internal = [&names.key, &names.account, &names.expected_endpoint, &names.deadline];
+    for name in internal.into_iter().chain(&names.reserved) {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     let has_body = !body.is_empty() || head.headers.contains_key(header::CONTENT_LENGTH);
     let mut request = hyper::Request::new(Full::new(body));
-    if has_body && request_length(&request) == 0 {
+    if has_body && body_length(&request) == 0 {
         headers.insert(header::CONTENT_LENGTH, header::HeaderValue::from_static("0"));
     }
     *request.method_mut() = head.method.clone();
@@ -43,14 +43,14 @@
     request
 }
 
-/// Returns the head of an endpoint's answer as it is passed on.
+/// Returns the head of an endpoint's answer as it is forwarded.
 pub(crate) fn response_head(
     shared: &state::Shared,
     mut headers: HeaderMap,
     status: hyper::StatusCode,
-    body: face::Body,
-) -> hyper::Response<face::Body> {
-    strip_hop(&mut headers);
+    body: ingress::Body,
+) -> hyper::Response<ingress::Body> {
+    strip_hop_by_hop(&mut headers);
     if shared.is_stopping() {
         headers.insert(header::CONNECTION, header::HeaderValue::from_static("close"));
     }
@@ -60,7 +60,7 @@
     response
 }
 
-fn strip_hop(headers: &mut HeaderMap) {
+fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<header::HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -69,14 +69,14 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != header::CONTENT_LENGTH && *name != header::HOST)
         .collect();
-    for name in HOP.iter().chain(&named) {
+    for name in HOP_BY_HOP.iter().chain(&named) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
     headers.remove("proxy-connection");
 }
 
-fn request_length(request: &hyper::Request<Full<Bytes>>) -> u64 {
+fn body_length(request: &hyper::Request<Full<Bytes>>) -> u64 {
     use hyper::body::Body as _;
     request.body().size_hint().exact().unwrap_or(0)
 }
--- a/crates/gateway/src/record/journal.rs
+++ b/crates/gateway/src/record/journal.rs
@@ -1,4 +1,4 @@
-//! Writing log lines without ever waiting for them.
+//! Writes log lines without blocking the caller.
 
 use std::sync::atomic;
 use std::{io::Write as _, sync, thread};
@@ -7,23 +7,23 @@
 
 use crate::record::Event;
 
-/// How many lines may wait to be written; a line is a few hundred bytes.
+/// How many lines may wait to be written; a line has a few hundred bytes.
 const CAPACITY: usize = 4_096;
 
-/// Counts the lines that were dropped since the writer was behind.
+/// Counts the lines that were dropped because the queue was full.
 #[derive(Clone, Debug, Default)]
 pub struct Dropped(sync::Arc<atomic::AtomicU64>);
 
 impl Dropped {
-    /// Returns the number.
+    /// Returns the number of dropped lines.
     pub fn count(&self) -> u64 {
         self.0.load(atomic::Ordering::Relaxed)
     }
 }
 
-/// Writes events as JSON lines to standard output, on a thread of its own.
+/// Writes events as JSON lines to standard output, on its own thread.
 ///
-/// A line that finds no room is dropped and counted, so that a slow reader never holds up a
+/// A line that does not fit into the queue is dropped and counted, so that a slow reader never delays a
 /// request.
 #[derive(Clone, Debug)]
 pub struct Journal {
@@ -33,7 +33,7 @@
 }
 
 #[derive(serde::Serialize)]
-struct Line<'a> {
+struct EventLine<'a> {
     at_ms: u64,
     host: &'a str,
     #[serde(flatten)]
@@ -41,7 +41,7 @@
 }
 
 #[derive(serde::Serialize)]
-struct Text<'a> {
+struct LogLine<'a> {
     at_ms: u64,
     host: &'a str,
     event: &'static str,
@@ -51,15 +51,15 @@
 }
 
 impl Journal {
-    /// Starts the writer's thread for the log of `host`; it ends with the last clone of the journal.
+    /// Starts the writer thread for the log of `host`; the thread ends with the last clone of the journal.
     ///
     /// # Errors
     ///
     /// Fails if the thread cannot be started.
     pub fn start(host: id::HostName) -> std::io::Result<(Self, thread::JoinHandle<()>)> {
-        let (lines, waiting) = sync::mpsc::sync_channel(CAPACITY);
+        let (lines, queue) = sync::mpsc::sync_channel(CAPACITY);
         let writer = thread::Builder::new().name("journal".to_owned());
-        let writer = writer.spawn(move || write_all(&waiting))?;
+        let writer = writer.spawn(move || write_lines(&queue))?;
         Ok((Self { host, lines, dropped: Dropped::default() }, writer))
     }
 
@@ -70,7 +70,7 @@
 
     /// Writes one event.
     pub fn write(&self, event: &Event) {
-        self.send(&Line { at_ms: unix_ms(), host: self.host.as_str(), event });
+        self.send(&EventLine { at_ms: unix_ms(), host: self.host.as_str(), event });
     }
 
     fn send(&self, line: &impl serde::Serialize) {
@@ -83,11 +83,11 @@
         }
     }
 
-    /// Sends the library's other log lines the same way.
+    /// Routes the records of the `log` crate through this journal.
     ///
     /// # Errors
     ///
-    /// Fails if the process logs already.
+    /// Fails if a logger is installed already.
     pub fn take_logs(&self, level: log::LevelFilter) -> anyhow::Result<()> {
         let appender = log4rs::config::Appender::builder().build("journal", Box::new(self.clone()));
         let root = log4rs::config::Root::builder().appender("journal").build(level);
@@ -98,7 +98,7 @@
 
 impl log4rs::append::Append for Journal {
     fn append(&self, record: &log::Record<'_>) -> anyhow::Result<()> {
-        self.send(&Text {
+        self.send(&LogLine {
             at_ms: unix_ms(),
             host: self.host.as_str(),
             event: "log",
@@ -112,16 +112,16 @@
     fn flush(&self) {}
 }
 
-/// Writes what waits, many lines at a time.
-fn write_all(waiting: &sync::mpsc::Receiver<Vec<u8>>) {
+/// Writes queued lines, many at a time.
+fn write_lines(queue: &sync::mpsc::Receiver<Vec<u8>>) {
     let mut out = std::io::stdout();
-    while let Ok(mut lines) = waiting.recv() {
+    while let Ok(mut lines) = queue.recv() {
         while lines.len() < 32 << 10
-            && let Ok(line) = waiting.try_recv()
+            && let Ok(line) = queue.try_recv()
         {
             lines.extend_from_slice(&line);
         }
-        // A reader that has gone away must not end the daemon.
+        // The daemon must survive the loss of the reader of its log.
         let _ = out.write_all(&lines).and_then(|()| out.flush());
     }
 }
