--- a/crates/decide/src/gateway/config/account.rs
+++ b/crates/decide/src/gateway/config/account.rs
@@ -1,30 +1,30 @@
-//! Client accounts as a gateway knows them.
+//! Client accounts in the configuration of a gateway.
 
 use trefoildyke_types::id;
 
-/// Describes a client account.
+/// A client account.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Account {
-    /// The account's name; endpoints are told it.
+    /// The account's name, which is passed to endpoints.
     pub name: id::AccountName,
-    /// The keys that callers may present.
+    /// The API keys that callers may present.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// The account's rank, 0 the most urgent; goes before the route's.
+    /// The account's priority, 0 the most urgent; takes precedence over the priority of the route.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// How much the account may use a second, over all daemons; 0 means no limit.
+    /// The amount that the account may use per second, over all daemons; 0 means no limit.
     #[serde(default)]
     pub rate: f64,
-    /// How much it may use at once beyond the rate.
+    /// The amount that the account may use at once beyond the rate.
     #[serde(default)]
     pub burst: f64,
-    /// What `rate` and `burst` count.
+    /// The unit of `rate` and `burst`.
     #[serde(default)]
     pub unit: AccountUnit,
 }
 
-/// Says what a quota counts.
+/// The unit of a quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AccountUnit {
@@ -33,13 +33,13 @@
     Requests,
     /// Each request counts its declared tokens.
     Tokens {
-        /// What a request without declared tokens counts.
+        /// The number of tokens counted for a request without declared tokens.
         undeclared: u32,
     },
 }
 
 impl Account {
-    /// Returns what a request with `declared` tokens counts against the quota.
+    /// Returns the cost of a request with `declared` tokens against the quota.
     pub fn cost(&self, declared: Option<u32>) -> f64 {
         match self.unit {
             AccountUnit::Requests => 1.0,
--- a/crates/decide/src/gateway/config/limits.rs
+++ b/crates/decide/src/gateway/config/limits.rs
@@ -1,16 +1,17 @@
-//! What a caller may send.
+//! Limits on the requests of callers.
 
-/// Bounds what a caller may send and how long it may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The largest head of a request, in bytes; 16 KiB.
+    /// The maximum size of the head of a request, in bytes; 16 KiB.
     pub header_bytes: usize,
-    /// The largest body of a request, in bytes; 4 MiB.
+    /// The maximum size of the body of a request, in bytes; 4 MiB.
     pub body_bytes: usize,
-    /// How long the head of a request may take, in milliseconds; 3 s.
+    /// The maximum time for receiving the head of a request, in milliseconds; 3 s.
     pub header_ms: u64,
-    /// How long a connection may be idle between two requests, in milliseconds; 15 s.
+    /// The maximum time for which a connection may be idle between two requests, in milliseconds;
+    /// 15 s.
     pub idle_ms: u64,
 }
 
--- a/crates/decide/src/gateway/config/mod.rs
+++ b/crates/decide/src/gateway/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration of a gateway and the look-ups on it.
+//! The configuration of a gateway and lookups in it.
 
 mod account;
 mod limits;
@@ -12,18 +12,19 @@
 pub use service::Service;
 pub use table::{Admitted, Denied, Table};
 
-/// Holds one version of the whole configuration.
+/// One version of the whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Config {
-    /// Rises with each change; a gateway never goes back to a lower one.
+    /// The version number, which increases with each change; a gateway never returns to a lower
+    /// version.
     pub version: u64,
     /// The routes, in no particular order.
     pub routes: Vec<Route>,
-    /// The services that routes lead to.
+    /// The services that are targets of routes.
     pub services: Vec<Service>,
-    /// The client accounts; if there are none, no request needs a key.
+    /// The client accounts; if there are none, no request needs an API key.
     pub accounts: Vec<Account>,
-    /// What a caller may send.
+    /// Limits on the requests of callers.
     pub limits: Limits,
 }
--- a/crates/decide/src/gateway/config/table.rs
+++ b/crates/decide/src/gateway/config/table.rs
@@ -1,4 +1,4 @@
-//! Look-ups on one version of the configuration.
+//! Lookups in one version of the configuration.
 
 use std::collections;
 
@@ -6,20 +6,20 @@
 
 use crate::gateway;
 
-/// Answers which route and which client account a request belongs to.
+/// An index of the routes, client accounts and services of a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     config: gateway::Config,
-    /// By host, the indices of its routes, the longest prefix first.
+    /// The indices of the routes of each host, the longest prefix first.
     hosts: collections::HashMap<String, Vec<usize>>,
-    /// By key, the index of its account.
+    /// The index of the account of each API key.
     keys: collections::HashMap<String, usize>,
-    /// By name, the index of the account.
+    /// The index of the account of each name.
     accounts: collections::HashMap<id::AccountName, usize>,
     services: collections::HashMap<id::PoolName, usize>,
 }
 
-/// Holds what a request belongs to.
+/// The route and client account of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Admitted<'a> {
     /// The route.
@@ -28,17 +28,17 @@
     pub account: Option<&'a gateway::Account>,
 }
 
-/// Says why a request is not admitted.
+/// The reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
     /// No route matches.
     NoRoute,
-    /// The key is missing or belongs to no account.
+    /// The API key is missing or belongs to no account.
     NoKey,
 }
 
 impl Table {
-    /// Indexes one version.
+    /// Creates an index of `config`.
     pub fn new(config: gateway::Config) -> Self {
         let mut hosts: collections::HashMap<String, Vec<usize>> = collections::HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
@@ -58,26 +58,26 @@
         Self { config, hosts, keys, accounts, services }
     }
 
-    /// Returns the account with a name.
+    /// Returns the account with this name.
     pub fn account(&self, name: &id::AccountName) -> Option<&gateway::Account> {
         self.accounts.get(name).map(|index| &self.config.accounts[*index])
     }
 
-    /// Returns the configuration that is indexed.
+    /// Returns the indexed configuration.
     pub const fn config(&self) -> &gateway::Config {
         &self.config
     }
 
-    /// Returns a service by its name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &id::PoolName) -> Option<&gateway::Service> {
         self.services.get(name).map(|index| &self.config.services[*index])
     }
 
-    /// Finds the route and the client account of a request.
+    /// Returns the route and the client account of a request.
     ///
     /// # Errors
     ///
-    /// Fails if no route matches, or if the route needs a key and `key` belongs to no account.
+    /// Fails if no route matches, or if the route needs an API key and `key` belongs to no account.
     pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Result<Admitted<'_>, Denied> {
         let route = self.route(host, path).ok_or(Denied::NoRoute)?;
         if route.public || self.config.accounts.is_empty() {
--- a/crates/decide/src/gateway/mesh/mod.rs
+++ b/crates/decide/src/gateway/mesh/mod.rs
@@ -1,8 +1,8 @@
-//! Which other daemons there are, and what is known of them.
+//! Membership of the daemons, and the state known of each member.
 
 mod hubs;
+mod placers;
 mod placing;
-mod roles;
 
 use std::{collections, net, time};
 
@@ -12,192 +12,203 @@
 
 pub use placing::Placing;
 
-/// Follows the members and what they say.
+/// The members and the state that they report.
 ///
-/// Members come from a list that may lag. A daemon announces itself to all once when it starts and once when it
-/// leaves; between that only a few, the hubs, hear from each other again and again, so that what a daemon sends and
-/// takes in does not grow with the members. Whoever is listed and was not heard counts as alive until it
-/// leaves a question unanswered. Whoever announces its start is a member before it is listed: of two daemons, the one
-/// that was listed later finds the other, so that all that start together know each other without reading the list again
-/// and again. Of others, only what listed addresses say is taken in.
+/// Members come from a list that may be out of date. A daemon announces itself to all members once
+/// when it starts and once when it leaves. Between these announcements only a few daemons, the
+/// hubs, exchange messages regularly, so that the messages sent and received by a daemon do not
+/// grow with the number of members. A listed member that was not heard counts as alive until it
+/// leaves a query unanswered. A daemon that announces its start is a member before it is listed: of
+/// two daemons, the one that was listed later finds the other in the list, so that daemons that
+/// start together know each other without reading the list repeatedly. All other messages are
+/// accepted only from listed addresses.
 #[derive(Clone, Debug)]
 pub struct Mesh {
     own: net::SocketAddr,
-    /// How much work for others this daemon's host can take.
+    /// The capacity of this daemon's host for work on behalf of other daemons.
     strength: gateway::Strength,
-    /// Whether the store left this daemon's last call without an answer.
+    /// Whether the store left this daemon's last call unanswered.
     unanswered: bool,
     /// How long a hub may be silent before it counts as not heard.
-    silence: time::Duration,
-    /// Until when this daemon's own entry surely lasts; `None` if it has none that can lapse.
-    listed_until: Option<Timestamp>,
-    /// When the members were listed first.
-    listed: Option<Timestamp>,
-    /// Whether a daemon that is not listed was heard.
-    met_stranger: bool,
-    /// Addresses of the others.
+    silence_limit: time::Duration,
+    /// The time until which this daemon's own entry is certain to exist; `None` if the entry cannot
+    /// expire.
+    entry_until: Option<Timestamp>,
+    /// The time at which a list of the members was first received.
+    listed_at: Option<Timestamp>,
+    /// Whether a message came from a daemon that is not listed.
+    unlisted_heard: bool,
+    /// The other members, by address.
     members: collections::BTreeMap<net::SocketAddr, Member>,
-    /// All addresses in the order in which they become hubs; follows from `members`, `own` and `strength`.
+    /// All addresses in the order in which they become hubs; derived from `members`, `own` and
+    /// `strength`.
     ranked: Vec<net::SocketAddr>,
-    /// Stands for the hubs; follows from `ranked`.
+    /// The hash of the hubs; derived from `ranked`.
     hub_mark: u64,
-    /// When the members last became fewer, and how many there were before.
-    fallen: Option<(Timestamp, usize)>,
+    /// The last time at which the number of members fell, and the number before.
+    last_drop: Option<(Timestamp, usize)>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Member {
-    /// The last digest's incarnation and number.
-    last: Option<(u64, u64)>,
-    /// When its last digest came.
-    heard: Option<Timestamp>,
-    /// When it last asked this daemon about the store.
-    asked: Option<Timestamp>,
-    /// How many daemons ask it about the store and go by the same hubs, as it said last.
+    /// The incarnation and number of the last digest.
+    last_digest: Option<(u64, u64)>,
+    /// When the last digest came.
+    heard_at: Option<Timestamp>,
+    /// When the member last queried this daemon about the store.
+    asked_at: Option<Timestamp>,
+    /// The number of daemons that query the member about the store and use the same hubs, as last
+    /// reported by the member.
     clients: u16,
-    /// The mark of the hubs that it goes by, as it said last.
+    /// The hash of the hubs that the member uses, as last reported by the member.
     hub_mark: u64,
-    /// Until when it is a member though it is not listed, since it has announced its start.
-    kept_until: Option<Timestamp>,
-    /// Until when it counts as just started.
+    /// The time until which the daemon is a member without being listed, because it has announced
+    /// its start.
+    announced_until: Option<Timestamp>,
+    /// The time until which the member counts as just started.
     new_until: Option<Timestamp>,
-    /// Whether it has said that it leaves.
+    /// Whether the member has announced that it leaves.
     leaving: bool,
     strength: gateway::Strength,
-    /// Until when the store is believed to turn it away.
-    turned_away_until: Option<Timestamp>,
-    /// Until when it is not asked, since it left a question unanswered.
-    doubted_until: Option<Timestamp>,
-    /// How many questions in a row it left unanswered.
-    doubts: u32,
-    /// Whether everything that this incarnation used was heard: it began after another one.
-    whole: bool,
-    spends: collections::HashMap<id::AccountName, Spend>,
+    /// The time until which the store is assumed not to answer the member.
+    unanswered_until: Option<Timestamp>,
+    /// The time until which the member is not queried, because it left a query unanswered.
+    backoff_until: Option<Timestamp>,
+    /// The number of consecutive queries that the member left unanswered.
+    timeouts: u32,
+    /// Whether all usage of this incarnation was heard, because an earlier incarnation was known
+    /// when it started.
+    fully_heard: bool,
+    usage: collections::HashMap<id::AccountName, Spend>,
 }
 
-/// What a member has said of its use of an account.
+/// The usage of an account at a member.
 #[derive(Clone, Copy, Debug, Default)]
 struct Spend {
-    /// The total that it told last.
+    /// The last reported total.
     used: u64,
-    /// The total that it told last of what was given back.
+    /// The last reported total of what was given back.
     returned: u64,
-    /// What this daemon has counted of the use and was not given back; what is given back beyond it was never
-    /// counted here.
+    /// The usage counted by this daemon and not given back. Amounts given back beyond this were
+    /// never counted here.
     counted: u64,
 }
 
 impl Spend {
-    /// Starts with the first total that was told: all of it is new if the member's begin was heard.
-    const fn new(told: &gateway::AccountSpend, is_whole: bool) -> Self {
-        let (used, returned) = if is_whole { (0, 0) } else { (told.used, told.returned) };
+    /// Creates the usage from the first reported totals. All of it is new if the start of the
+    /// member was heard.
+    const fn new(totals: &gateway::AccountSpend, is_fully_heard: bool) -> Self {
+        let (used, returned) = if is_fully_heard { (0, 0) } else { (totals.used, totals.returned) };
         Self { used, returned, counted: 0 }
     }
 
-    /// Returns what the new totals add to what is counted here.
-    fn take(&mut self, told: &gateway::AccountSpend, is_counted: bool) -> gateway::AccountSpend {
-        let used = if is_counted { told.used.saturating_sub(self.used) } else { 0 };
-        let returned = told.returned.saturating_sub(self.returned).min(self.counted + used);
-        self.used = told.used;
-        self.returned = told.returned;
+    /// Records new totals and returns what they add to the usage counted by this daemon.
+    fn add(&mut self, totals: &gateway::AccountSpend, is_counted: bool) -> gateway::AccountSpend {
+        let used = if is_counted { totals.used.saturating_sub(self.used) } else { 0 };
+        let returned = totals.returned.saturating_sub(self.returned).min(self.counted + used);
+        self.used = totals.used;
+        self.returned = totals.returned;
         self.counted = self.counted + used - returned;
-        gateway::AccountSpend { used, returned, ..told.clone() }
+        gateway::AccountSpend { used, returned, ..totals.clone() }
     }
 }
 
-/// Names another daemon.
+/// Another daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Where it is told and heard.
+    /// The address to which digests are sent and from which they come.
     pub address: net::SocketAddr,
-    /// How much work for others its host can take.
+    /// The capacity of its host for work on behalf of other daemons.
     pub strength: gateway::Strength,
 }
 
-/// The part of each quota that a daemon takes that never got a list of the members.
-const UNLISTED_PART: f64 = 1.0 / 32.0;
+/// The fraction of each quota that a daemon may use if it never received a list of the members.
+const UNLISTED_FRACTION: f64 = 1.0 / 32.0;
 
-/// For how long it holds that the store turns a daemon away: it is not asked meanwhile, so that it cannot say that
-/// this is over.
-const TURNED_AWAY: time::Duration = time::Duration::from_millis(2_000);
+/// How long the store is assumed not to answer a daemon after the daemon reported this. The daemon
+/// is not queried in the meantime, so it cannot report that the store answers again.
+const UNANSWERED_HOLD: time::Duration = time::Duration::from_millis(2_000);
 
-/// For how long a daemon that has announced its start is a member though it is not listed: lists may be some seconds
-/// old, and are read every few seconds.
-const ANNOUNCED_KEPT: time::Duration = time::Duration::from_secs(10);
+/// How long a daemon that has announced its start is a member without being listed: lists may be
+/// some seconds old, and are read every few seconds.
+const ANNOUNCED_HOLD: time::Duration = time::Duration::from_secs(10);
 
-/// For how long members that are gone count in what is divided among all: the longest window in which that is bounded.
-const LATELY: time::Duration = time::Duration::from_secs(10);
+/// How long members that are gone count when a limit is divided among the members: the longest
+/// window of such a limit.
+const DEPARTED_HOLD: time::Duration = time::Duration::from_secs(10);
 
-/// How many members there are at most; further ones have to be listed.
-const MOST: usize = 16_384;
+/// The maximum number of members that are accepted without being listed.
+const MAX_MEMBERS: usize = 16_384;
 
-/// Holds what a digest adds to what was known.
+/// The new information in a digest.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct News {
-    /// What each account has used and given back since the last digest of the sender.
+    /// What each account has used and given back since the sender's last digest.
     pub spent: Vec<gateway::AccountSpend>,
-    /// What the sender's buckets hold of accounts that it names for the first time.
+    /// The levels of the sender's buckets for accounts that the sender names for the first time.
     pub levels: Vec<gateway::AccountSpend>,
-    /// Whether the sender's loads are to be forgotten: it leaves, or has started again.
+    /// Whether the sender's load is to be discarded, because it leaves or has restarted.
     pub is_over: bool,
 }
 
 impl Mesh {
-    /// Starts with no other member; `own` is this daemon's address for digests.
-    pub fn new(own: net::SocketAddr, silence: time::Duration) -> Self {
+    /// Creates a mesh without other members; `own` is this daemon's address for digests.
+    pub fn new(own: net::SocketAddr, silence_limit: time::Duration) -> Self {
         Self {
             own,
             strength: gateway::Strength::UNKNOWN,
             unanswered: false,
-            silence,
-            listed_until: None,
-            listed: None,
-            met_stranger: false,
+            silence_limit,
+            entry_until: None,
+            listed_at: None,
+            unlisted_heard: false,
             members: collections::BTreeMap::new(),
             ranked: vec![own],
             hub_mark: 0,
-            fallen: None,
+            last_drop: None,
         }
     }
 
-    /// Sets how much work for others this daemon's host can take.
+    /// Sets the capacity of this daemon's host for work on behalf of other daemons.
     #[must_use]
     pub fn with_strength(mut self, strength: gateway::Strength) -> Self {
         self.strength = strength;
         self
     }
 
-    /// Returns how much work for others this daemon's host can take.
+    /// Returns the capacity of this daemon's host for work on behalf of other daemons.
     pub const fn strength(&self) -> gateway::Strength {
         self.strength
     }
 
-    /// Notes that this daemon's own entry lasts until `until` at least.
+    /// Records that this daemon's own entry exists until `until` at least.
     pub fn note_entry(&mut self, until: Timestamp) {
-        self.listed_until = self.listed_until.max(Some(until));
+        self.entry_until = self.entry_until.max(Some(until));
     }
 
-    /// Says whether this daemon is sure to be a member for all.
+    /// Returns whether all daemons are certain to count this daemon as a member.
     ///
-    /// Where its entry may have lapsed, the others may have divided its parts among themselves.
+    /// If its entry may have expired, the others may have divided its parts among themselves.
     pub fn is_listed(&self, now: Timestamp) -> bool {
-        self.listed_until.is_none_or(|until| now < until)
+        self.entry_until.is_none_or(|until| now < until)
     }
 
-    /// Notes whether the store has answered this daemon's last call; says whether that has changed.
+    /// Records whether the store has answered this daemon's last call, and returns whether that has
+    /// changed.
     pub const fn note_answer(&mut self, is_answered: bool) -> bool {
         std::mem::replace(&mut self.unanswered, !is_answered) == is_answered
     }
 
-    /// Says whether the store left this daemon's last call without an answer.
+    /// Returns whether the store left this daemon's last call unanswered.
     pub const fn is_unanswered(&self) -> bool {
         self.unanswered
     }
 
-    /// Notes whether the store has answered a member's last call, as it said in reply to a question.
+    /// Records whether the store has answered a member's last call, as reported in the member's
+    /// reply to a query.
     pub fn note_member_answer(&mut self, now: Timestamp, from: net::SocketAddr, is_answered: bool) {
         if let Some(member) = self.members.get_mut(&from) {
-            member.turned_away_until = (!is_answered).then(|| now + TURNED_AWAY);
+            member.unanswered_until = (!is_answered).then(|| now + UNANSWERED_HOLD);
         }
     }
 
@@ -206,12 +217,12 @@
         self.own
     }
 
-    /// Takes in the list of members and returns those that are gone from it.
+    /// Replaces the list of members and returns the members that are gone from it.
     pub fn replace(&mut self, now: Timestamp, list: &[Peer]) -> Vec<net::SocketAddr> {
         let before = self.count_lately(now);
         let listed: collections::BTreeSet<_> = list.iter().map(|peer| peer.address).collect();
         let is_gone = |(address, member): &(&net::SocketAddr, &Member)| {
-            !listed.contains(address) && member.kept_until.is_none_or(|until| now >= until)
+            !listed.contains(address) && member.announced_until.is_none_or(|until| now >= until)
         };
         let gone = self.members.iter().filter(is_gone).map(|(address, _)| *address);
         let gone: Vec<_> = gone.collect();
@@ -220,21 +231,22 @@
         }
         self.extend(now, list);
         if self.count() < before {
-            self.fallen = Some((now, before));
+            self.last_drop = Some((now, before));
         }
         gone
     }
 
-    /// Takes in a list of members in which some may be missing that are alive.
+    /// Adds a list of members from which members that are alive may be missing.
     pub fn extend(&mut self, now: Timestamp, list: &[Peer]) {
-        self.listed.get_or_insert(now);
+        self.listed_at.get_or_insert(now);
         for peer in list.iter().filter(|peer| peer.address != self.own) {
             self.members.entry(peer.address).or_default().strength = peer.strength;
         }
-        self.rank();
+        self.update_ranking();
     }
 
-    /// Takes in a digest; `None` if it is from a stranger or older than another.
+    /// Records a digest and returns the new information; `None` if the sender is not a member or
+    /// the digest is not newer than the last one.
     pub fn note(
         &mut self,
         now: Timestamp,
@@ -242,42 +254,44 @@
         digest: &gateway::Digest,
     ) -> Option<News> {
         if digest.starting {
-            self.admit(from, digest.strength);
+            self.add_announced(from, digest.strength);
         }
         let Some(member) = self.members.get_mut(&from) else {
-            self.met_stranger |= !digest.leaving;
+            self.unlisted_heard |= !digest.leaving;
             return None;
         };
-        let is_same = member.last.is_some_and(|(incarnation, _)| incarnation == digest.incarnation);
-        if is_same && member.last.is_some_and(|(_, number)| number >= digest.number) {
+        let is_same =
+            member.last_digest.is_some_and(|(incarnation, _)| incarnation == digest.incarnation);
+        if is_same && member.last_digest.is_some_and(|(_, number)| number >= digest.number) {
             return None;
         }
-        // What a member used before it was first heard stays unknown, like after its restart. What
-        // it used while it was silent was left to it: both sides kept to their parts.
-        let is_first = member.last.is_none();
-        let was_silent = member.heard.is_none_or(|heard| now.since(heard) > self.silence);
+        // What a member used before it was first heard stays unknown, as after a restart of this
+        // daemon. What it used while it was silent is not counted, because both sides kept to their
+        // own parts in that time.
+        let is_first = member.last_digest.is_none();
+        let was_silent = member.heard_at.is_none_or(|at| now.since(at) > self.silence_limit);
         if !is_same {
-            member.spends.clear();
-            member.whole = !is_first;
+            member.usage.clear();
+            member.fully_heard = !is_first;
         }
         if digest.starting {
-            member.kept_until = Some(now + ANNOUNCED_KEPT);
-            member.new_until = Some(now + placing::NEW);
-            member.settle_doubt();
+            member.announced_until = Some(now + ANNOUNCED_HOLD);
+            member.new_until = Some(now + placing::NEW_AGE);
+            member.reset_timeouts();
         }
-        member.last = Some((digest.incarnation, digest.number));
-        member.heard = (!digest.leaving).then_some(now);
+        member.last_digest = Some((digest.incarnation, digest.number));
+        member.heard_at = (!digest.leaving).then_some(now);
         member.leaving = digest.leaving;
-        member.turned_away_until = digest.unanswered.then(|| now + TURNED_AWAY);
+        member.unanswered_until = digest.unanswered.then(|| now + UNANSWERED_HOLD);
         member.clients = digest.clients;
         member.hub_mark = digest.hub_mark;
         let is_over = digest.leaving || (digest.starting && !is_same);
         let mut news = News { is_over, ..News::default() };
         for spend in &digest.spend {
-            let is_named = member.spends.contains_key(&spend.account);
-            let known = member.spends.entry(spend.account.clone());
-            let known = known.or_insert_with(|| Spend::new(spend, member.whole));
-            let added = known.take(spend, !is_first && !was_silent);
+            let is_named = member.usage.contains_key(&spend.account);
+            let known = member.usage.entry(spend.account.clone());
+            let known = known.or_insert_with(|| Spend::new(spend, member.fully_heard));
+            let added = known.add(spend, !is_first && !was_silent);
             if !is_named {
                 news.levels.push(spend.clone());
             }
@@ -288,81 +302,84 @@
         Some(news)
     }
 
-    /// Takes a daemon that announces its start for a member.
-    fn admit(&mut self, from: net::SocketAddr, strength: gateway::Strength) {
-        if from == self.own || self.members.contains_key(&from) || self.members.len() >= MOST {
+    /// Adds a daemon that announces its start as a member.
+    fn add_announced(&mut self, from: net::SocketAddr, strength: gateway::Strength) {
+        if from == self.own || self.members.contains_key(&from) || self.members.len() >= MAX_MEMBERS
+        {
             return;
         }
         self.members.insert(from, Member { strength, ..Member::default() });
-        self.rank();
+        self.update_ranking();
     }
 
-    /// Notes that a daemon has replied to something, or that one which is not listed says something.
+    /// Records that a daemon has replied, or that a daemon that is not listed has sent a message.
     ///
-    /// What a daemon says unasked does not show that it replies: it may be too busy for that.
+    /// Unsolicited messages of a daemon do not show that it replies to queries: it may be too busy
+    /// for that.
     pub fn hear(&mut self, from: net::SocketAddr) {
         match self.members.get_mut(&from) {
-            Some(member) => member.settle_doubt(),
-            None => self.met_stranger = true,
+            Some(member) => member.reset_timeouts(),
+            None => self.unlisted_heard = true,
         }
     }
 
-    /// Says whether a daemon that is not listed was heard since the last call: the list is too old.
+    /// Returns whether a daemon that is not listed was heard since the last call, which means that
+    /// the list is out of date.
     pub const fn take_stranger(&mut self) -> bool {
-        std::mem::replace(&mut self.met_stranger, false)
+        std::mem::replace(&mut self.unlisted_heard, false)
     }
 
-    /// Returns how many members there are, this daemon included.
+    /// Returns the number of members, including this daemon.
     pub fn count(&self) -> usize {
         self.members.len() + 1
     }
 
-    /// Returns how many members there were at most of late.
+    /// Returns the largest recent number of members.
     ///
-    /// What is divided among the members may not be divided anew at once when there are fewer: those that are gone
-    /// have used their parts.
+    /// When members leave, a limit that is divided among the members must not be divided anew at
+    /// once: the members that are gone have used their shares.
     pub fn count_lately(&self, now: Timestamp) -> usize {
-        let fallen = self.fallen.filter(|(at, _)| now.since(*at) <= LATELY);
-        fallen.map_or(0, |(_, before)| before).max(self.count())
+        let last_drop = self.last_drop.filter(|(at, _)| now.since(*at) <= DEPARTED_HOLD);
+        last_drop.map_or(0, |(_, before)| before).max(self.count())
     }
 
     /// Returns the fraction of an equally divided limit that this daemon may use.
     ///
     /// The fraction is 0 if the daemon has read no list of members, because it would count only
-    /// itself and use the whole limit. It is also 0 if the daemon's entry may have lapsed, because
+    /// itself and use the whole limit. It is also 0 if the daemon's entry may have expired, because
     /// the other members may have divided its share among themselves.
     pub fn equal_share(&self, now: Timestamp) -> f64 {
-        if self.listed.is_none() || !self.is_listed(now) {
+        if self.listed_at.is_none() || !self.is_listed(now) {
             return 0.0;
         }
         1.0 / self.count_lately(now) as f64
     }
 
-    /// Says whether messages from `address` are taken in.
+    /// Returns whether messages from `address` are accepted.
     pub fn is_member(&self, address: net::SocketAddr) -> bool {
         self.members.contains_key(&address)
     }
 
-    /// Returns the addresses of the others.
+    /// Returns the addresses of the other members.
     pub fn others(&self) -> Vec<net::SocketAddr> {
         self.members.keys().copied().collect()
     }
 }
 
 impl Member {
-    /// Forgets the doubts: the member has replied, or has started again.
-    const fn settle_doubt(&mut self) {
-        self.doubted_until = None;
-        self.doubts = 0;
+    /// Resets the count of unanswered queries, because the member has replied or has restarted.
+    const fn reset_timeouts(&mut self) {
+        self.backoff_until = None;
+        self.timeouts = 0;
     }
 
-    /// Says whether a digest of the member came in the last `silence`.
-    fn is_heard(&self, now: Timestamp, silence: time::Duration) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) <= silence)
+    /// Returns whether a digest of the member came within the last `limit`.
+    fn is_heard(&self, now: Timestamp, limit: time::Duration) -> bool {
+        self.heard_at.is_some_and(|at| now.since(at) <= limit)
     }
 
-    /// Says whether the member may be asked something.
+    /// Returns whether the member may be queried.
     fn may_answer(&self, now: Timestamp) -> bool {
-        !self.leaving && self.doubted_until.is_none_or(|until| now >= until)
+        !self.leaving && self.backoff_until.is_none_or(|until| now >= until)
     }
 }
--- a/crates/decide/src/gateway/mesh/roles.rs
+++ b/crates/decide/src/gateway/mesh/placers.rs
@@ -1,7 +1,7 @@
-//! Which daemons place the requests of a service for all.
+//! The placers: the daemons that place the requests of a service on behalf of all daemons.
 //!
-//! Found by rendezvous hashing, so that all daemons with the same members find the same ones without a
-//! word, and the loss of one moves only what it did.
+//! They are found by rendezvous hashing, so that all daemons with the same members find the same
+//! placers without exchanging messages, and the loss of one placer moves only its services.
 
 use std::{net, time};
 
@@ -9,34 +9,37 @@
 
 use crate::gateway::{self, Mesh};
 
-/// How many daemons are told of the work at a service: the one that places its requests, and the one
-/// that takes over when that one is lost.
-const PLACERS: usize = 2;
+/// The number of daemons that receive the load reports of a service: the one that places its
+/// requests, and the one that takes over if the first is lost.
+const PLACER_COUNT: usize = 2;
 
-/// For how long a daemon is not asked that left a question unanswered; twice as long each further time, since each
-/// time costs the requests that ask it a fifth of a second.
-const DOUBT: time::Duration = time::Duration::from_millis(1_000);
+/// How long a daemon is not queried after it left a query unanswered. The time doubles with each
+/// further unanswered query, since each one delays the waiting requests by a fifth of a second.
+const BASE_BACKOFF: time::Duration = time::Duration::from_millis(1_000);
 
-/// How often that time doubles at most: by then the list of members names the daemon no more.
-const DOUBLINGS: u32 = 2;
+/// The maximum number of times that the backoff doubles; by then the list of members no longer
+/// names the daemon.
+const MAX_DOUBLINGS: u32 = 2;
 
 impl Mesh {
-    /// Notes that a member did not answer, or cannot place requests.
+    /// Records that a member did not answer, or cannot place requests.
     pub fn doubt(&mut self, now: Timestamp, address: net::SocketAddr) {
         let member = self.members.get_mut(&address);
         if let Some(member) = member.filter(|member| member.may_answer(now)) {
-            member.doubted_until = Some(now + DOUBT * (1 << member.doubts.min(DOUBLINGS)));
-            member.doubts += 1;
+            member.backoff_until =
+                Some(now + BASE_BACKOFF * (1 << member.timeouts.min(MAX_DOUBLINGS)));
+            member.timeouts += 1;
         }
     }
 
-    /// Returns the daemons that may place the requests of `service`: the one that does so, the one that
-    /// takes over when it is lost, and a new one that is about to.
+    /// Returns the daemons that may place the requests of `service`: the current placer, its
+    /// successor, and a recently started daemon that will become the placer.
     ///
-    /// Found by rendezvous hashing, so that all daemons with the same members find the same one, and
-    /// that the loss of one moves only its own services. Those that have just started come last, and
-    /// strong hosts before weak ones, which have enough to do with their own requests.
-    /// `own` says whether this daemon can. Never empty: who hears nobody places its own.
+    /// They are found by rendezvous hashing, so that all daemons with the same members find the
+    /// same placer, and the loss of one daemon moves only its own services. Daemons that have just
+    /// started come last. Strong hosts come before weak ones, which have enough to do with their
+    /// own requests. `own` is the ability of this daemon. The list is never empty: a daemon that
+    /// hears no other daemon places its own requests.
     pub fn placers(
         &self,
         now: Timestamp,
@@ -52,7 +55,7 @@
         let all = others.chain([(own, self.strength, self.own)]);
         let able = all.filter(|(placing, ..)| *placing != gateway::Placing::Unable);
         let seed = xxhash_rust::xxh3::xxh3_64(service.as_str().as_bytes());
-        let mut found = Vec::with_capacity(PLACERS + 1);
+        let mut found = Vec::with_capacity(PLACER_COUNT + 1);
         let mut heaviest = None;
         for (placing, strength, address) in able {
             let fitness = (strength, weight(seed, address));
@@ -62,7 +65,7 @@
             }
             let place = found.partition_point(|(before, _)| *before > rank);
             found.insert(place, (rank, address));
-            found.truncate(PLACERS);
+            found.truncate(PLACER_COUNT);
         }
         let mut placers: Vec<_> = found.into_iter().map(|(_, address)| address).collect();
         let next = heaviest.map_or(self.own, |(_, address)| address);
@@ -73,8 +76,8 @@
     }
 }
 
-/// Returns how high a daemon stands among those that may place the requests of a service, whose name
-/// is hashed to `seed`.
+/// Returns the weight of a daemon in the rendezvous hashing for `seed`, a hash of the name of the
+/// service or account.
 pub(super) fn weight(seed: u64, address: net::SocketAddr) -> u64 {
     let mut bytes = [0_u8; 18];
     match address.ip() {
--- a/crates/decide/src/gateway/mesh/placing.rs
+++ b/crates/decide/src/gateway/mesh/placing.rs
@@ -1,26 +1,28 @@
-//! Whether a daemon can place the requests of others.
+//! The ability of a daemon to place requests of other daemons.
 
 use std::time;
 
-/// Says whether a daemon can place the requests of others. Later ones are asked first.
+/// The ability of a daemon to place requests of other daemons. Daemons with a later variant are
+/// asked first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Placing {
-    /// It knows no endpoints, or leaves.
+    /// The daemon knows no endpoints, or leaves.
     #[default]
     Unable,
-    /// It has just started and does not know yet what the others have sent.
+    /// The daemon has just started and does not know yet what the others have sent to the
+    /// endpoints.
     New,
-    /// It can.
+    /// The daemon can place requests.
     Able,
 }
 
-/// For how long after its start a daemon is asked for places only if there is no other: until it has
-/// read the list of endpoints and the others have told it what they have sent.
-pub(super) const NEW: time::Duration = time::Duration::from_millis(2_500);
+/// How long after its start a daemon is asked for places only if there is no other daemon: until it
+/// has read the list of endpoints and the others have reported what they have sent.
+pub(super) const NEW_AGE: time::Duration = time::Duration::from_millis(2_500);
 
 impl Placing {
-    /// Returns what a daemon can do that knows some endpoints, by how long ago it started.
+    /// Returns the ability of a daemon that knows some endpoints and started `running` ago.
     pub fn after(running: time::Duration) -> Self {
-        if running < NEW { Self::New } else { Self::Able }
+        if running < NEW_AGE { Self::New } else { Self::Able }
     }
 }
--- a/crates/decide/src/gateway/message/crash.rs
+++ b/crates/decide/src/gateway/message/crash.rs
@@ -1,20 +1,21 @@
-//! Telling other daemons under which requests endpoints have ended.
+//! Reports of endpoints that crashed during a request.
 
 use trefoildyke_types::id;
 
 use crate::gateway;
 
-/// Says that an endpoint ended while it ran a request, as far as its daemon could see.
+/// An endpoint that crashed while it ran a request, as far as its daemon could see.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Crash {
-    /// The request, whatever id it had.
+    /// The fingerprint of the request, which is the same for every id of the request.
     pub fingerprint: gateway::Fingerprint,
     /// The endpoint.
     pub endpoint: id::EndpointName,
-    /// Which start of the endpoint ended.
+    /// The number of the endpoint's start that crashed.
     pub start: u64,
-    /// How long ago that was, in milliseconds.
+    /// The time since the crash, in milliseconds.
     pub age_ms: u32,
-    /// Whether it has turned out that the request did not end the endpoint; never taken back.
+    /// Whether it has turned out that the request did not crash the endpoint; once true, it stays
+    /// true.
     pub refuted: bool,
 }
--- a/crates/decide/src/gateway/message/digest.rs
+++ b/crates/decide/src/gateway/message/digest.rs
@@ -1,48 +1,50 @@
-//! What a daemon tells others of itself.
+//! The state that a daemon reports to the others.
 
 use trefoildyke_types::id;
 
 use crate::gateway;
 
-/// Holds one daemon's part of the shared state: full pictures and running totals, so a lost one does
-/// no harm.
+/// One daemon's part of the shared state.
+///
+/// It holds complete lists and running totals, so that a lost digest does no harm.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Digest {
-    /// The sender's incarnation; a new one starts all counters anew.
+    /// The sender's incarnation; a new incarnation restarts all counters.
     pub incarnation: u64,
-    /// Rises with each digest of an incarnation, so that one that comes late is ignored.
+    /// The sequence number within the incarnation, so that a late digest is ignored.
     pub number: u64,
-    /// Whether this is the first that the sender says to all.
+    /// Whether this is the sender's first message to all daemons.
     pub starting: bool,
-    /// How much work for others the sender's host can take.
+    /// The capacity of the sender's host for work on behalf of other daemons.
     pub strength: gateway::Strength,
-    /// Whether the sender has just started and knows little of what was used.
+    /// Whether the sender has just started and knows little of the earlier usage.
     pub is_young: bool,
-    /// Whether the sender leaves and says nothing more.
+    /// Whether the sender leaves and sends nothing more.
     pub leaving: bool,
-    /// Whether the store left the sender's last call without an answer.
+    /// Whether the store left the sender's last call unanswered.
     pub unanswered: bool,
-    /// The mark of the hubs that the sender goes by.
+    /// The hash of the hubs that the sender uses.
     pub hub_mark: u64,
-    /// How many daemons ask the sender about the store that go by the same hubs.
+    /// The number of daemons that query the sender about the store and use the same hubs.
     pub clients: u16,
-    /// The mark of what the sender knows of requests that end endpoints.
+    /// The hash of the crashes known to the sender.
     pub quarantine: u64,
-    /// The mark of the roll-outs that the sender knows.
+    /// The hash of the rollouts known to the sender.
     pub rollouts: u64,
-    /// What the accounts have used at the sender that were used of late, from time to time all.
+    /// The usage at the sender of accounts that were used recently; from time to time of all
+    /// accounts.
     pub spend: Vec<AccountSpend>,
 }
 
-/// Holds what an account has used at one daemon since its start.
+/// The usage of an account at one daemon since its start.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct AccountSpend {
     /// The account.
     pub account: id::AccountName,
-    /// Everything taken since the start of the incarnation; never falls.
+    /// The total amount taken since the start of the incarnation; never decreases.
     pub used: u64,
-    /// What of that was given back, since the requests it was taken for were sent nowhere; never falls.
+    /// The amount of that which was given back because its requests were not sent; never decreases.
     pub returned: u64,
-    /// What is left in the sender's bucket; below 0 if it is overdrawn.
+    /// The level of the sender's bucket; below 0 if it is overdrawn.
     pub level: i64,
 }
--- a/crates/decide/src/gateway/message/load.rs
+++ b/crates/decide/src/gateway/message/load.rs
@@ -1,56 +1,58 @@
-//! What a daemon tells the daemon that places a service's requests.
+//! The load that a daemon reports to the daemon that places a service's requests.
 
 use trefoildyke_types::id;
 
-/// Holds one daemon's work at one service.
+/// The load of one daemon at one service.
 ///
-/// Most tell only what has changed at an endpoint, as it is now; what a lost one told is made up for by the next
-/// that is full, a quarter of a second later at most.
+/// Most reports contain only the endpoints that have changed, with their current values. The next
+/// full report, at most a quarter of a second later, makes up for a lost report.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LoadReport {
-    /// The sender's incarnation; a new one starts all counters anew.
+    /// The sender's incarnation; a new incarnation restarts all counters.
     pub incarnation: u64,
-    /// Rises with each report of an incarnation, so that one that comes late is ignored.
+    /// The sequence number within the incarnation, so that a late report is ignored.
     pub number: u64,
     /// The service.
     pub service: id::PoolName,
-    /// Whether the sender has no work at endpoints that are not named; else nothing has changed there.
+    /// Whether the report is full: the sender has no work at endpoints that are not listed.
+    /// Otherwise nothing has changed at endpoints that are not listed.
     pub is_full: bool,
-    /// The last place that the receiver gave to the sender and that is counted here.
+    /// The last place granted to the sender by the receiver that is counted in this report.
     pub placed: u64,
-    /// The endpoints at which the sender has work or of which it has learned something.
+    /// The endpoints at which the sender has work or has made observations.
     pub endpoints: Vec<EndpointLoad>,
 }
 
 impl LoadReport {
-    /// Returns how many requests the sender has at the endpoints that are named.
+    /// Returns the number of requests that the sender runs at the listed endpoints.
     pub(crate) fn running(&self) -> u32 {
         self.endpoints.iter().map(|load| u32::from(load.running)).sum()
     }
 }
 
-/// Holds one daemon's work at one endpoint.
+/// The load of one daemon at one endpoint.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct EndpointLoad {
     /// The endpoint.
     pub endpoint: id::EndpointName,
-    /// Which start of the endpoint the sender means.
+    /// The number of the endpoint's start.
     pub start: u64,
-    /// Requests sent and not ended.
+    /// The number of requests that were sent and have not ended.
     pub running: u16,
-    /// Prompt tokens sent whose first event has not come.
+    /// The number of prompt tokens that were sent and whose first event has not come.
     pub prefill: u32,
-    /// For how long the sender has heard nothing from there though it has work, in milliseconds.
+    /// The time in milliseconds for which the endpoint has sent nothing although the sender has
+    /// work there.
     pub silent_ms: u32,
-    /// What the sender has learned since its last report, if anything.
+    /// The observations since the sender's last report, if any.
     pub learned: Option<Learned>,
     /// The endpoint's rate limit, if the sender has recently received it in an answer.
     pub rate_limit: Option<RateLimitReport>,
-    /// The answers since the sender's last report, while another version of the service is tried.
+    /// The answers since the sender's last report, while there is a canary version of the service.
     pub answers: Vec<RouteAnswers>,
 }
 
-/// Reports the rate limit that the sender received from an endpoint.
+/// A rate limit that the sender received from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct RateLimitReport {
     /// The limit in requests per second; `None` if the endpoint has withdrawn it.
@@ -59,43 +61,43 @@
     pub age_ms: u32,
 }
 
-/// Counts the answers to requests of one route.
+/// Counts of the answers to requests of one route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RouteAnswers {
-    /// Stands for the route.
+    /// The hash of the route's name.
     pub route: u32,
-    /// All answers.
+    /// The number of all answers.
     pub count: u16,
-    /// Those that were failures or broke off.
+    /// The number of answers that were failures or broke off.
     pub failed: u16,
-    /// Those that came far too late.
+    /// The number of answers that came far too late.
     pub slow: u16,
 }
 
-/// Holds what was seen of an endpoint.
+/// Observations of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Learned {
-    /// Events of streams.
+    /// The number of stream events.
     pub steps: u16,
-    /// The mean time between two tokens in them, in milliseconds.
+    /// The mean time between two tokens in these streams, in milliseconds.
     pub step_ms: f32,
-    /// The shortest time between two tokens in them, in milliseconds.
+    /// The shortest time between two tokens in these streams, in milliseconds.
     pub least_ms: f32,
-    /// Answers.
+    /// The number of answers.
     pub served: u16,
-    /// Failed and broken answers.
+    /// The number of failed and interrupted answers.
     pub failed: u16,
-    /// Rejections, and connections that could not be opened.
+    /// The number of rejections and of connections that could not be opened.
     pub refused: u16,
-    /// How long first events took, if there were any.
+    /// The times to the first event, if there were any.
     pub firsts: Option<Firsts>,
 }
 
-/// Sums up how long first events took (`y`, in times between two tokens) after how many prompt tokens (`x`,
-/// in thousands): what a straight line through them follows from.
+/// The sums for a linear regression of the time to the first event (`y`, as a multiple of the time
+/// between two tokens) on the number of prompt tokens (`x`, in thousands).
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Firsts {
-    /// How many first events.
+    /// The number of first events.
     pub count: u16,
     /// The sum of all `x`.
     pub x: f32,
@@ -108,7 +110,7 @@
 }
 
 impl Firsts {
-    /// Returns one observation.
+    /// Returns the sums of one observation.
     pub(crate) fn one(x: f64, y: f64) -> Self {
         Self { count: 1, x: x as f32, y: y as f32, xx: (x * x) as f32, xy: (x * y) as f32 }
     }
@@ -123,13 +125,13 @@
 }
 
 impl Learned {
-    /// Says whether nothing was seen.
+    /// Returns whether there are no observations.
     pub const fn is_empty(&self) -> bool {
         let is_silent = self.steps == 0 && self.firsts.is_none();
         is_silent && self.served == 0 && self.failed == 0 && self.refused == 0
     }
 
-    /// Adds what was seen besides.
+    /// Adds further observations.
     pub fn add(&mut self, other: &Self) {
         let steps = f32::from(self.steps) + f32::from(other.steps);
         if other.steps > 0 {
--- a/crates/decide/src/gateway/message/mod.rs
+++ b/crates/decide/src/gateway/message/mod.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other.
+//! The messages between daemons.
 
 mod charge;
 mod crash;
@@ -18,18 +18,18 @@
 pub use placing::{Ask, PlaceReply, Placed};
 pub use store_view::StoreView;
 
-/// Is what daemons send each other.
+/// A message from one daemon to another.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Message {
-    /// The sender's part of what all know.
+    /// The sender's part of the shared state.
     Digest(Digest),
-    /// The sender's work, for the daemon that places the service's requests.
+    /// The sender's load, for the daemon that places the service's requests.
     Load(LoadReport),
     /// Asks for a place.
     Ask(Ask),
     /// Replies to [`Message::Ask`].
     Placed(Placed),
-    /// Takes [`Message::Ask`] back: the request needs no place any more.
+    /// Withdraws a [`Message::Ask`], because the request no longer needs a place.
     Withdraw {
         /// The service.
         service: id::PoolName,
@@ -40,59 +40,62 @@
     Charge(Charge),
     /// Replies to [`Message::Charge`].
     Charged {
-        /// The request's number.
+        /// The number of the request.
         number: u64,
-        /// What becomes of it.
+        /// The reply.
         reply: ChargeReply,
     },
-    /// Gives back what was taken of an account's quota for a request that was sent nowhere.
+    /// Gives back what was taken of an account's quota for a request that was not sent.
     Refund {
         /// The account.
         account: id::AccountName,
-        /// How much.
+        /// The amount.
         cost: f64,
     },
-    /// Tells hubs by which other hubs the sender goes from now on, so that they do not count it any more.
+    /// Reports a change of the hubs that the sender uses to its former hubs, so that they no longer
+    /// count the sender.
     Hubs {
-        /// The mark of those.
+        /// The hash of the new hubs.
         hub_mark: u64,
     },
-    /// Asks what the receiver knows of the store.
+    /// Queries the receiver's view of the store.
     Query {
-        /// The sender's time; comes back in the reply, so that its age can be told.
+        /// The sender's time, which is returned in the reply so that the sender can determine the
+        /// age of the reply.
         stamp: u64,
-        /// The mark of the sender's list of endpoints.
+        /// The hash of the sender's list of endpoints.
         roster: u64,
-        /// The mark of the hubs that the sender goes by.
+        /// The hash of the hubs that the sender uses.
         hub_mark: u64,
-        /// The mark of what the sender knows of requests that end endpoints.
+        /// The hash of the crashes known to the sender.
         quarantine: u64,
-        /// The mark of the roll-outs that the sender knows.
+        /// The hash of the rollouts known to the sender.
         rollouts: u64,
     },
     /// Answers [`Message::Query`].
     Reply {
-        /// The time that the query named.
+        /// The time from the query.
         stamp: u64,
-        /// What the sender knows.
+        /// The sender's view of the store.
         view: StoreView,
         /// Whether the store has answered the sender's last call.
         answered: bool,
-        /// What leads from the list of the query to the one of `view`, if the sender knows that.
+        /// The changes that lead from the list of the query to the list of `view`, if the sender
+        /// knows them.
         changes: Option<Vec<gateway::RosterChange>>,
     },
-    /// Tells of moves of services to other versions.
+    /// Reports rollouts.
     Rollouts {
-        /// The moves.
+        /// The rollouts.
         rollouts: Vec<gateway::Rollout>,
-        /// Whether the sender wants to know what else the receiver knows.
+        /// Whether the sender wants to receive the rollouts that the receiver knows.
         asks: bool,
     },
-    /// Tells under which requests endpoints have ended.
+    /// Reports crashes of endpoints during requests.
     Crashes {
-        /// The ends.
+        /// The crashes.
         crashes: Vec<Crash>,
-        /// Whether the sender wants to know what else the receiver knows.
+        /// Whether the sender wants to receive the crashes that the receiver knows.
         asks: bool,
     },
 }
--- a/crates/decide/src/gateway/message/placing.rs
+++ b/crates/decide/src/gateway/message/placing.rs
@@ -1,4 +1,4 @@
-//! Asking another daemon for a place.
+//! Requests to another daemon for a place at an endpoint.
 
 use std::time;
 
@@ -6,13 +6,14 @@
 
 use crate::gateway;
 
-/// Asks for a place, or says that one is still waited for. All times are from now on, in
-/// milliseconds, since clocks differ.
+/// Asks for a place at an endpoint, or reports that a request still waits for one.
+///
+/// All times are in milliseconds from now, because the clocks of the hosts differ.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Ask {
     /// The service.
     pub service: id::PoolName,
-    /// Names the request among those of the sender; the same whenever it asks again.
+    /// The number of the request, unique for the sender; the same each time the sender asks again.
     pub number: u64,
     rank: u8,
     route: u32,
@@ -29,53 +30,54 @@
     tried: Vec<id::EndpointName>,
 }
 
-/// Replies to [`Ask`].
+/// The reply to an [`Ask`].
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Placed {
     /// The service.
     pub service: id::PoolName,
-    /// The request's number.
+    /// The number of the request.
     pub number: u64,
-    /// What becomes of it.
+    /// The reply.
     pub reply: PlaceReply,
 }
 
-/// Says what becomes of a request for a place.
+/// The result of an [`Ask`].
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum PlaceReply {
-    /// It has one.
+    /// The request has a place.
     Granted {
-        /// Where.
+        /// The endpoint.
         endpoint: id::EndpointName,
-        /// Counts the places that the sender gave to the receiver.
+        /// The number of places that the sender has granted to the receiver so far.
         given: u64,
-        /// How many tokens of the prompt are assumed to be read there.
+        /// The number of prompt tokens that the endpoint is assumed to process for the request.
         unread: u32,
         /// The predicted time to the first event, in milliseconds.
         first_ms: u32,
-        /// How many requests are believed to run there already.
+        /// The estimated number of requests that already run at the endpoint.
         beside: u32,
-        /// How many prompt tokens are believed to be read there before.
+        /// The estimated number of prompt tokens that the endpoint processes before this request.
         ahead: u32,
-        /// How old the oldest report behind that number is, in milliseconds.
+        /// The age of the oldest report behind that estimate, in milliseconds.
         age_ms: u32,
     },
-    /// It waits.
+    /// The request is queued.
     Queued {
-        /// After how many milliseconds its caller should come back if it waits in vain.
+        /// The time in milliseconds after which the caller should come back if the request gets no
+        /// place.
         retry_ms: u32,
     },
-    /// It would wait too long.
+    /// The request would wait too long.
     Refused {
-        /// After how many milliseconds its caller should come back.
+        /// The time in milliseconds after which the caller should come back.
         retry_ms: u32,
     },
-    /// The sender cannot place requests of this service.
+    /// The sender of the reply cannot place requests of this service.
     Unable,
 }
 
 impl Ask {
-    /// Asks for a place for a request of `service`.
+    /// Creates a message that asks for a place for a request of `service`.
     pub fn new(
         service: id::PoolName,
         number: u64,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Returns what is asked for, by the clock of the receiver.
+    /// Returns the demand, with times by the clock of the receiver.
     pub fn demand(&self, now: Timestamp) -> gateway::Demand {
         let after = |ms: u32| now + time::Duration::from_millis(u64::from(ms));
         gateway::Demand {
--- a/crates/decide/src/gateway/message/store_view.rs
+++ b/crates/decide/src/gateway/message/store_view.rs
@@ -1,16 +1,16 @@
-//! What daemons tell each other of the store.
+//! A daemon's view of the store.
 
-/// Says what a daemon knows of the store, and how old that is. All ages are in milliseconds.
+/// A daemon's knowledge of the store and its age. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StoreView {
     /// The version of the configuration in force.
     pub version: u64,
-    /// How long ago it was confirmed.
+    /// The time since the configuration was confirmed.
     pub confirmed: u32,
-    /// Stands for the list of endpoints: equal lists have equal marks.
+    /// The hash of the list of endpoints; equal lists have equal hashes.
     pub roster: u64,
-    /// How long ago the list was read.
+    /// The time since the list was read.
     pub read: u32,
-    /// For how long the list's source has answered without a break.
+    /// How long the source of the list has answered without a failure.
     pub steady: u32,
 }
--- a/crates/decide/src/gateway/quarantine/mod.rs
+++ b/crates/decide/src/gateway/quarantine/mod.rs
@@ -1,13 +1,15 @@
-//! Requests that end the endpoints they run on.
+//! Detection of requests that crash endpoints.
 //!
-//! Engines end now and then, and whatever ran there is cut off. A request that ends each endpoint which begins to run it can be
-//! told from the others only over several ends, and these show at different daemons, since it comes again under a
-//! new id and reaches any of them. So daemons tell each other of the ends, and what counts here is the union of all that is
-//! known: an end is named by the request and the start of the endpoint, is counted once whoever saw it, and once refuted stays so.
+//! Engines crash now and then, which interrupts all requests that run there. A request that crashes
+//! every endpoint that starts to run it can be distinguished from the others only over several
+//! crashes. Different daemons observe these crashes, since the request is repeated under a new id
+//! and reaches any daemon. Daemons therefore exchange the crashes that they know of, and decide by
+//! the union of all known crashes. A crash is identified by the request and the start of the
+//! endpoint, is counted once regardless of how many daemons saw it, and once refuted stays refuted.
 
 mod params;
+mod sharing;
 mod suspect;
-mod tell;
 
 use std::{cmp, collections, time};
 
@@ -17,42 +19,44 @@
 
 pub use params::QuarantineParams;
 
-/// Follows the requests under which endpoints have ended, and says which are sent nowhere any more.
+/// Tracks the requests during which endpoints have crashed, and the requests that are quarantined,
+/// that is, no longer sent to any endpoint.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     params: QuarantineParams,
     suspects: collections::BTreeMap<gateway::Fingerprint, suspect::Suspect>,
-    /// The requests that are sent nowhere; follows from `suspects`.
-    held: collections::BTreeSet<gateway::Fingerprint>,
-    /// Stands for what is shared; follows from `suspects`.
-    mark: u64,
+    /// The quarantined requests; derived from `suspects`.
+    quarantined: collections::BTreeSet<gateway::Fingerprint>,
+    /// The hash of the shared crashes; derived from `suspects`.
+    hash: u64,
 }
 
-/// What came of a change for one request.
+/// The effect of a change on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It is sent nowhere any more.
+    /// The request is no longer sent to any endpoint.
     Held {
         /// The request.
         fingerprint: gateway::Fingerprint,
-        /// How many endpoints ended under it.
+        /// The number of endpoints that crashed during the request.
         ends: usize,
     },
-    /// It may be sent again.
+    /// The request may be sent again.
     Released(gateway::Fingerprint),
 }
 
-/// How many ends are remembered, in some 200 KB.
-const MOST: usize = 1_024;
+/// The maximum number of stored crashes; they take about 200 KB.
+const MAX_CRASHES: usize = 1_024;
 
 impl Quarantine {
-    /// Starts with no end known.
+    /// Creates a quarantine without known crashes.
     pub const fn new(params: QuarantineParams) -> Self {
         let suspects = collections::BTreeMap::new();
-        Self { params, suspects, held: collections::BTreeSet::new(), mark: 0 }
+        Self { params, suspects, quarantined: collections::BTreeSet::new(), hash: 0 }
     }
 
-    /// Notes that an endpoint ended under a request of this daemon, and returns what is to be told.
+    /// Records that an endpoint crashed during a request of this daemon, and returns the message
+    /// for the other daemons and the effects.
     pub fn ended(
         &mut self,
         now: Timestamp,
@@ -62,15 +66,15 @@
         let (endpoint, start) = (grant.endpoint.clone(), grant.start);
         let crash = gateway::Crash { fingerprint, endpoint, start, age_ms: 0, refuted: false };
         self.insert(now, &crash, true);
-        (crash, self.weigh(now))
+        (crash, self.update(now))
     }
 
-    /// Takes in what another daemon has told.
+    /// Adds crashes reported by another daemon, and returns the effects.
     pub fn learn(&mut self, now: Timestamp, crashes: &[gateway::Crash]) -> Vec<QuarantineChange> {
         for crash in crashes {
             self.insert(now, crash, false);
         }
-        self.weigh(now)
+        self.update(now)
     }
 
     fn insert(&mut self, now: Timestamp, crash: &gateway::Crash, own: bool) {
@@ -81,14 +85,16 @@
         }
         let suspect = self.suspects.entry(crash.fingerprint).or_default();
         let start = (crash.endpoint.clone(), crash.start);
-        let new = suspect::End { until: now + left, refuted: false, own };
-        let end = suspect.ends.entry(start).or_insert(new);
-        end.refuted |= crash.refuted;
-        end.own |= own;
+        let new = suspect::CrashRecord { until: now + left, refuted: false, own };
+        let record = suspect.crashes.entry(start).or_insert(new);
+        record.refuted |= crash.refuted;
+        record.own |= own;
     }
 
-    /// Notes that an endpoint has run a request to its end, which it could not if the request ended endpoints; says whether
-    /// that refutes anything, and what follows.
+    /// Records that an endpoint has completed a request, which refutes all known crashes of that
+    /// request: a request that crashes endpoints would not complete.
+    ///
+    /// Returns the effects, or `None` if nothing was refuted.
     pub fn survived(
         &mut self,
         now: Timestamp,
@@ -97,18 +103,20 @@
         self.refute(now, fingerprint, |_, _| true)
     }
 
-    /// Refutes the ends of endpoints that are listed for too long after it: they have lost a connection only.
+    /// Refutes the crashes of endpoints that are still listed too long after the crash: they have
+    /// only lost a connection.
     ///
-    /// `outlived` says whether the start of an endpoint was still listed a time after a moment.
+    /// `outlived` returns whether the given start of an endpoint was still listed for a duration
+    /// after a time. Returns the effects, or `None` if nothing was refuted.
     pub fn compare(
         &mut self,
         now: Timestamp,
         fingerprint: gateway::Fingerprint,
-        outlived: impl Fn(&suspect::Start, Timestamp, time::Duration) -> bool,
+        outlived: impl Fn(&suspect::EndpointStart, Timestamp, time::Duration) -> bool,
     ) -> Option<Vec<QuarantineChange>> {
         let QuarantineParams { kept, lapse, .. } = self.params;
-        self.refute(now, fingerprint, |start, end| {
-            let age = end.age(now, kept);
+        self.refute(now, fingerprint, |start, record| {
+            let age = record.age(now, kept);
             let at = now.as_micros().saturating_sub(age.as_micros() as u64);
             age >= lapse && outlived(start, Timestamp::from_micros(at), lapse)
         })
@@ -118,94 +126,100 @@
         &mut self,
         now: Timestamp,
         fingerprint: gateway::Fingerprint,
-        is_refuted: impl Fn(&suspect::Start, &suspect::End) -> bool,
+        is_refuted: impl Fn(&suspect::EndpointStart, &suspect::CrashRecord) -> bool,
     ) -> Option<Vec<QuarantineChange>> {
         let suspect = self.suspects.get_mut(&fingerprint)?;
         let mut found = false;
-        for (start, end) in &mut suspect.ends {
-            if !end.refuted && is_refuted(start, end) {
-                end.refuted = true;
+        for (start, record) in &mut suspect.crashes {
+            if !record.refuted && is_refuted(start, record) {
+                record.refuted = true;
                 found = true;
             }
         }
-        found.then(|| self.weigh(now))
+        found.then(|| self.update(now))
     }
 
-    /// Says whether a request is sent nowhere, and when its caller should come back: when that may be over.
+    /// Returns when the caller of a quarantined request should come back, which is when the
+    /// quarantine may have ended; `None` if the request is not quarantined.
     pub fn held(
         &self,
         now: Timestamp,
         fingerprint: gateway::Fingerprint,
     ) -> Option<time::Duration> {
-        if !self.held.contains(&fingerprint) {
+        if !self.quarantined.contains(&fingerprint) {
             return None;
         }
-        let ends = self.suspects.get(&fingerprint)?.counted(now);
-        let latest = ends.iter().map(|until| until.since(now)).max()?;
+        let expiries = self.suspects.get(&fingerprint)?.counted(now);
+        let latest = expiries.iter().map(|until| until.since(now)).max()?;
         let age = self.params.kept.saturating_sub(latest);
         if age < self.params.lapse {
-            // The list may still show that the endpoints live.
+            // The list of endpoints may still show that the endpoints are alive.
             return Some(self.params.lapse - age);
         }
-        let mut left: Vec<_> = ends.iter().map(|until| until.since(now)).collect();
+        let mut left: Vec<_> = expiries.iter().map(|until| until.since(now)).collect();
         left.sort_unstable();
         let first = left.len().checked_sub(self.params.ends)?;
         left.get(first).copied()
     }
 
-    /// Returns under how many endpoints' ends a request was, as far as is known.
+    /// Returns the number of endpoints known to have crashed during a request.
     pub fn ends(&self, now: Timestamp, fingerprint: gateway::Fingerprint) -> usize {
         self.suspects.get(&fingerprint).map_or(0, |suspect| suspect.counted(now).len())
     }
 
-    /// Returns a number that is the same for daemons that know the same.
+    /// Returns a hash of the shared crashes, the same for daemons that know the same crashes.
     pub const fn mark(&self) -> u64 {
-        self.mark
+        self.hash
     }
 
-    /// Forgets what counts no more, and works out what follows from the rest.
-    fn weigh(&mut self, now: Timestamp) -> Vec<QuarantineChange> {
-        self.forget(now);
-        let held = self.causes(now);
-        self.mark = self.work_out_mark();
-        let before = std::mem::replace(&mut self.held, held);
-        let new = self.held.difference(&before).map(|fingerprint| QuarantineChange::Held {
+    /// Removes expired crashes, and updates the quarantined requests and the hash. Returns the
+    /// effects.
+    fn update(&mut self, now: Timestamp) -> Vec<QuarantineChange> {
+        self.expire(now);
+        let quarantined = self.find_causes(now);
+        self.hash = self.shared_hash();
+        let before = std::mem::replace(&mut self.quarantined, quarantined);
+        let new = self.quarantined.difference(&before).map(|fingerprint| QuarantineChange::Held {
             fingerprint: *fingerprint,
             ends: self.ends(now, *fingerprint),
         });
-        let gone = before.difference(&self.held).copied().map(QuarantineChange::Released);
+        let gone = before.difference(&self.quarantined).copied().map(QuarantineChange::Released);
         new.chain(gone).collect()
     }
 
-    /// Finds the requests that end endpoints, without those that only ran beside them: an end does not count for a request if
-    /// another one explains it, under which more endpoints have ended.
-    fn causes(&self, now: Timestamp) -> collections::BTreeSet<gateway::Fingerprint> {
+    /// Returns the requests that crash endpoints, without those that only ran at the same time.
+    ///
+    /// A crash does not count for a request if it is explained by another request during which more
+    /// endpoints have crashed.
+    fn find_causes(&self, now: Timestamp) -> collections::BTreeSet<gateway::Fingerprint> {
         let counted = self.suspects.iter().map(|(fingerprint, suspect)| {
-            let ends = suspect.ends.iter().filter(|(_, end)| end.counts(now));
-            (*fingerprint, ends.map(|(start, _)| start).collect::<Vec<_>>())
+            let starts = suspect.crashes.iter().filter(|(_, record)| record.counts(now));
+            (*fingerprint, starts.map(|(start, _)| start).collect::<Vec<_>>())
         });
         let mut counted: Vec<_> =
-            counted.filter(|(_, ends)| ends.len() >= self.params.ends).collect();
-        counted.sort_by_key(|(_, ends)| cmp::Reverse(ends.len()));
+            counted.filter(|(_, starts)| starts.len() >= self.params.ends).collect();
+        counted.sort_by_key(|(_, starts)| cmp::Reverse(starts.len()));
         let mut explained = collections::BTreeSet::new();
         let mut causes = collections::BTreeSet::new();
-        for (fingerprint, ends) in counted {
-            let open = ends.iter().filter(|start| !explained.contains(*start)).count();
-            if open >= self.params.ends {
+        for (fingerprint, starts) in counted {
+            let unexplained = starts.iter().filter(|start| !explained.contains(*start)).count();
+            if unexplained >= self.params.ends {
                 causes.insert(fingerprint);
-                explained.extend(ends);
+                explained.extend(starts);
             }
         }
         causes
     }
 
-    fn forget(&mut self, now: Timestamp) {
+    fn expire(&mut self, now: Timestamp) {
         for suspect in self.suspects.values_mut() {
-            suspect.ends.retain(|_, end| now < end.until);
+            suspect.crashes.retain(|_, record| now < record.until);
         }
-        self.suspects.retain(|_, suspect| !suspect.ends.is_empty());
-        while self.suspects.values().map(|suspect| suspect.ends.len()).sum::<usize>() > MOST {
-            let known = self.suspects.iter().filter(|(found, _)| !self.held.contains(found));
+        self.suspects.retain(|_, suspect| !suspect.crashes.is_empty());
+        while self.suspects.values().map(|suspect| suspect.crashes.len()).sum::<usize>()
+            > MAX_CRASHES
+        {
+            let known = self.suspects.iter().filter(|(found, _)| !self.quarantined.contains(found));
             let oldest = known.min_by_key(|(_, suspect)| suspect.latest()).map(|(found, _)| *found);
             let Some(oldest) = oldest.or_else(|| self.suspects.keys().next().copied()) else {
                 return;
--- a/crates/decide/src/gateway/quarantine/params.rs
+++ b/crates/decide/src/gateway/quarantine/params.rs
@@ -1,23 +1,24 @@
-//! How requests are recognised that end endpoints.
+//! The parameters of the quarantine.
 
 use std::time;
 
-/// Says how requests are recognised that end endpoints.
+/// The parameters for detecting requests that crash endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineParams {
-    /// How many endpoints may end under a request before it is sent nowhere any more; 3.
+    /// The number of endpoints that may crash during a request before it is quarantined; 3.
     ///
-    /// Two may well end under a harmless one, which is sent again after the first: at another endpoint it may run beside
-    /// the request that ended the first.
+    /// Two endpoints may well crash during a harmless request. It is sent again after the first
+    /// crash, and at the second endpoint it may run beside the request that caused the first crash.
     pub ends: usize,
-    /// How long an end counts; 10 minutes.
+    /// How long a crash counts; 10 minutes.
     ///
-    /// Also for how long at most a request is sent nowhere, so that a mended endpoint gets it again.
+    /// This is also the longest time for which a request is quarantined, so that a repaired
+    /// endpoint gets it again.
     pub kept: time::Duration,
-    /// After how long the list of endpoints does not name one any more that has ended, if the list's source has answered
-    /// all the while; 8 s.
+    /// The time within which a crashed endpoint disappears from the list of endpoints, if the
+    /// source of the list has answered throughout; 8 s.
     ///
-    /// Three heartbeats, and the age of the oldest list that may be read.
+    /// It covers three heartbeats and the age of the oldest list that may be read.
     pub lapse: time::Duration,
 }
 
--- a/crates/decide/src/gateway/quarantine/suspect.rs
+++ b/crates/decide/src/gateway/quarantine/suspect.rs
@@ -1,47 +1,47 @@
-//! A request under which endpoints have ended.
+//! The requests during which endpoints have crashed.
 
 use std::{collections, time};
 
 use trefoildyke_types::{id, time::Timestamp};
 
-/// The start of an endpoint.
-pub(super) type Start = (id::EndpointName, u64);
+/// An endpoint and the number of its start.
+pub(super) type EndpointStart = (id::EndpointName, u64);
 
-/// A request under which endpoints have ended.
+/// A request during which endpoints have crashed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspect {
-    /// Never empty.
-    pub(super) ends: collections::BTreeMap<Start, End>,
+    /// The crashes by start of the endpoint; never empty.
+    pub(super) crashes: collections::BTreeMap<EndpointStart, CrashRecord>,
 }
 
-/// The end of an endpoint.
+/// The crash of an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct End {
-    /// Until when it counts.
+pub(super) struct CrashRecord {
+    /// The time until which the crash counts.
     pub(super) until: Timestamp,
     pub(super) refuted: bool,
-    /// Whether this daemon saw it.
+    /// Whether this daemon saw the crash.
     pub(super) own: bool,
 }
 
 impl Suspect {
-    /// Returns until when each end counts that does.
+    /// Returns the expiry times of the crashes that count.
     pub(super) fn counted(&self, now: Timestamp) -> Vec<Timestamp> {
-        let counted = self.ends.values().filter(|end| end.counts(now));
-        counted.map(|end| end.until).collect()
+        let counted = self.crashes.values().filter(|crash| crash.counts(now));
+        counted.map(|crash| crash.until).collect()
     }
 
     pub(super) fn latest(&self) -> Option<Timestamp> {
-        self.ends.values().map(|end| end.until).max()
+        self.crashes.values().map(|crash| crash.until).max()
     }
 }
 
-impl End {
+impl CrashRecord {
     pub(super) fn counts(&self, now: Timestamp) -> bool {
         !self.refuted && now < self.until
     }
 
-    /// Returns how long ago it was, if ends count for `kept`.
+    /// Returns the time since the crash, if crashes count for `kept`.
     pub(super) fn age(&self, now: Timestamp, kept: time::Duration) -> time::Duration {
         kept.saturating_sub(self.until.since(now))
     }
--- a/crates/decide/src/gateway/rollout/exposure.rs
+++ b/crates/decide/src/gateway/rollout/exposure.rs
@@ -1,55 +1,60 @@
-//! How many requests a version gets that is tried.
+//! The share of the requests that a canary version gets.
 
 use std::collections;
 
-/// Counts the requests that this daemon has placed since a version is tried, and how many of them it got.
+/// Counts the requests that this daemon has placed since the canary started, and those placed at
+/// the canary version.
 ///
-/// Each daemon keeps to the part by its own requests alone, so that the sum over all daemons does as well, whoever places
-/// and whatever is forgotten at a start. No word between daemons is needed.
+/// Each daemon limits the share by its own requests alone. The share therefore also holds for the
+/// sum over all daemons, whichever daemon places requests and whatever is lost in a restart, and
+/// the daemons need not exchange messages.
 ///
-/// Invariant: the version got at most the part of what was placed here.
+/// Invariant: the canary version got at most its share of the requests placed here.
 #[derive(Clone, Debug, Default)]
 pub struct Exposure {
-    sum: Counts,
+    total: Counts,
     routes: collections::HashMap<u32, Counts>,
-    /// Routes of which the version got nothing yet.
-    untried: usize,
+    /// The number of routes of which the canary version has not got a request.
+    untried_routes: usize,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     placed: u64,
-    tried: u64,
+    canary: u64,
 }
 
 impl Exposure {
-    /// Says whether a request of a route may go to the version: its part allows one more, and the route has not had more
-    /// than its own part. Room for one more is left for routes that it has not met, so that rare ones meet it early.
+    /// Returns whether a request of a route may go to the canary version.
+    ///
+    /// It may if the share allows one more request, and if the route has not had more than its own
+    /// share. Room for one more request is reserved for routes of which the canary version has not
+    /// got a request, so that rare routes are tried early.
     pub fn allows(&self, route: u32, share: f64) -> bool {
         let counts = self.routes.get(&route).copied().unwrap_or_default();
-        let left = if self.untried > 0 && counts.tried > 0 { -1.0 } else { 0.0 };
-        self.sum.has_room(share, left) && counts.has_room(share, 1.0)
+        let extra = if self.untried_routes > 0 && counts.canary > 0 { -1.0 } else { 0.0 };
+        self.total.has_room(share, extra) && counts.has_room(share, 1.0)
     }
 
-    /// Counts a request that was placed.
-    pub fn note(&mut self, route: u32, is_tried: bool) {
+    /// Counts a placed request.
+    pub fn note(&mut self, route: u32, is_canary: bool) {
         let counts = self.routes.entry(route).or_default();
-        self.untried += usize::from(counts.placed == 0);
-        self.untried -= usize::from(counts.tried == 0 && is_tried);
-        for counts in [&mut self.sum, counts] {
+        self.untried_routes += usize::from(counts.placed == 0);
+        self.untried_routes -= usize::from(counts.canary == 0 && is_canary);
+        for counts in [&mut self.total, counts] {
             counts.placed += 1;
-            counts.tried += u64::from(is_tried);
+            counts.canary += u64::from(is_canary);
         }
     }
 
-    /// Returns how many requests were placed, and how many of them the version got.
+    /// Returns the number of placed requests, and the number of those that the canary version got.
     pub const fn counts(&self) -> (u64, u64) {
-        (self.sum.placed, self.sum.tried)
+        (self.total.placed, self.total.canary)
     }
 }
 
 impl Counts {
-    fn has_room(self, share: f64, besides: f64) -> bool {
-        (self.tried + 1) as f64 <= (self.placed + 1) as f64 * share + besides
+    fn has_room(self, share: f64, extra: f64) -> bool {
+        (self.canary + 1) as f64 <= (self.placed + 1) as f64 * share + extra
     }
 }
--- a/crates/decide/src/gateway/rollout/order.rs
+++ b/crates/decide/src/gateway/rollout/order.rs
@@ -1,24 +1,25 @@
-//! One roll-out as daemons tell each other of it.
+//! The state of one rollout, as exchanged between daemons.
 
 use trefoildyke_types::id;
 
 use crate::gateway::Stage;
 
-/// Describes the move of a service to another version of its endpoints.
+/// The move of a service to another version of its endpoints.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Rollout {
     /// The service.
     pub service: id::PoolName,
-    /// Which order of the operators it follows; a later one is higher.
+    /// The number of the operators' order; later orders have higher numbers.
     pub order: u64,
-    /// The version that was in force when it was ordered; `None` until that was written down.
+    /// The version that was in force at the time of the order; `None` until that has been written
+    /// to the store.
     pub from: Option<id::VersionName>,
-    /// The version that is to be in force.
+    /// The version that the service moves to.
     pub to: id::VersionName,
-    /// Within which time that is wanted, in milliseconds after the order.
+    /// The time in which the rollout should complete, in milliseconds after the order.
     pub within_ms: u64,
-    /// How long ago it was ordered, in milliseconds.
+    /// The time since the order, in milliseconds.
     pub age_ms: u64,
-    /// How far it is.
+    /// The stage that the rollout has reached.
     pub stage: Stage,
 }
