--- a/crates/decide/src/gateway/attempt.rs
+++ b/crates/decide/src/gateway/attempt.rs
@@ -79,10 +79,10 @@
 
     /// Returns the action to take after a failed send.
     ///
-    /// Calls `may_repeat`, which takes a retry from the retry budget, only if another send is
+    /// Calls `may_retry`, which takes a retry from the retry budget, only if another send is
     /// allowed and is not exempt from the budget. A request of which no byte was ever written is
     /// exempt.
-    pub fn failed(&mut self, failure: Failure, may_repeat: impl FnOnce() -> bool) -> Next {
+    pub fn failed(&mut self, failure: Failure, may_retry: impl FnOnce() -> bool) -> Next {
         if matches!(failure, Failure::NotSent | Failure::Rejected) {
             self.possible_runs = self.possible_runs.saturating_sub(1);
         }
@@ -91,7 +91,7 @@
         }
         let is_safe = self.possible_runs == 0 || self.repeat == Repeat::Idempotent;
         let is_free = failure == Failure::NotSent && self.sends == 0;
-        if is_safe && self.possible_runs < self.limit && (is_free || may_repeat()) {
+        if is_safe && self.possible_runs < self.limit && (is_free || may_retry()) {
             return Next::Again;
         }
         match failure {
--- a/crates/decide/src/gateway/mesh/hubs.rs
+++ b/crates/decide/src/gateway/mesh/hubs.rs
@@ -33,7 +33,7 @@
 const KEEPER_COUNT: usize = 2;
 
 /// How long a daemon that queries a hub about the store every 450 ms may be silent before it counts
-/// as not heard; allows for two lost queries.
+/// as not heard; exceeded once two queries in a row are lost.
 const CLIENT_TIMEOUT: time::Duration = time::Duration::from_millis(1_300);
 
 /// How long after its start a daemon may not have heard of other daemons that are alive: they first
--- a/crates/decide/src/gateway/quota.rs
+++ b/crates/decide/src/gateway/quota.rs
@@ -140,9 +140,9 @@
 
     /// Gives back what was taken for a request that was not sent.
     ///
-    /// The other daemons are told as well. Otherwise each request refused by one daemon because of
-    /// overload would use up the quota at all other daemons, and an account that floods the daemons
-    /// would be refused far below its quota.
+    /// The other daemons learn of it as well. Otherwise each request refused by one daemon because
+    /// of overload would use up the quota at all other daemons, and an account that floods the
+    /// daemons would be refused far below its quota.
     pub fn give_back(&mut self, now: Timestamp, account: &id::AccountName, cost: f64) {
         let bucket = self.bucket(now, account);
         bucket.level += cost;
@@ -155,8 +155,8 @@
         self.bucket(now, &spend.account).level -= spend.used as f64 - spend.returned as f64;
     }
 
-    /// Raises the bucket to the level of another daemon's bucket, once after the bucket was created
-    /// or restarted and before its first use.
+    /// Raises the bucket to the level of another daemon's bucket, the first time that a level is
+    /// reported after the bucket was restarted, or after it was created and before its first use.
     ///
     /// The buckets of all daemons follow the same usage. A daemon that has just started knows of no
     /// usage and would refuse callers who are within their quotas.
--- a/crates/decide/tests/testsuite/gateway/rollouts.rs
+++ b/crates/decide/tests/testsuite/gateway/rollouts.rs
@@ -331,8 +331,8 @@
     }
 }
 
-/// Records `count` answers per route for the version in force and for each of two endpoints of the canary version; for each of these
-/// endpoints, `bad(route)` of the answers are bad.
+/// Records `count` answers per route for the version in force and for each of two endpoints of the
+/// canary version. Of the answers of each canary endpoint, `bad(route)` are bad.
 fn note_answers(judge: &mut Judge, ms: u64, routes: u32, count: u32, bad: impl Fn(u32) -> u32) {
     for route in 0..routes {
         judge.note_usual(at(ms), route, Answers { count, bad: 0 });
