--- a/crates/decide/src/gateway/pool/demand.rs
+++ b/crates/decide/src/gateway/pool/demand.rs
@@ -1,4 +1,4 @@
-//! What a request asks of a pool, and what it gets.
+//! The requests to a pool, and its decisions on them.
 
 use std::time;
 
@@ -6,34 +6,34 @@
 
 use crate::gateway;
 
-/// Describes a request to a pool.
+/// A request to a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// The rank; 0 is served first.
     pub rank: u8,
-    /// Stands for the route.
+    /// The identifier of the route.
     pub route: u32,
     /// The availability zone of the daemon that has the request.
     pub zone: id::ZoneName,
-    /// The length of the prompt in tokens; 0 where no model is asked.
+    /// The length of the prompt in tokens; 0 if the service runs no model.
     pub prompt: u32,
-    /// The parts of the prompt that others may begin with as well, in order.
+    /// The parts at the beginning of the prompt that other prompts may share, in order.
     pub parts: Vec<gateway::PromptPart>,
     /// The expected length of the answer in tokens.
     pub expected: f64,
-    /// The longest pause that callers of such streams don't notice; zero where there is no stream.
+    /// The longest pause of such a stream that callers do not notice; zero if the answer is not a stream.
     pub gap: time::Duration,
-    /// Until when the first event is of full use.
+    /// The time by which the first event should arrive.
     pub objective: Timestamp,
-    /// When the caller leaves if nothing has come.
+    /// When the caller leaves if nothing has arrived.
     pub leaves: Timestamp,
-    /// When an answer that is not complete is of no use any more.
+    /// The time after which an incomplete answer is useless.
     pub deadline: Timestamp,
-    /// Whether the caller was refused before and will not come back once more.
+    /// Whether the caller was refused before and will not retry again.
     pub returning: bool,
-    /// Whether the request may run again after a failure.
+    /// Whether the request may be repeated after a failure.
     pub repeatable: bool,
-    /// Endpoints at which the request has been already.
+    /// The endpoints to which the request was sent before.
     pub tried: Vec<id::EndpointName>,
 }
 
@@ -44,43 +44,43 @@
     }
 }
 
-/// Names a waiting request of one pool.
+/// The identifier of a waiting request of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(super) u64);
 
-/// Gives a request a slot at an endpoint; ended by [`super::Pool::end`], once.
+/// A request's slot at an endpoint. Each grant must be ended once by [`super::Pool::end`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
     /// The endpoint.
     pub endpoint: id::EndpointName,
-    /// Which start of the endpoint; what becomes of the request says nothing of later ones.
+    /// Which start of the endpoint; the outcome of the request says nothing about later ones.
     pub start: u64,
-    /// Stands for the request's route.
+    /// The identifier of the request's route.
     pub route: u32,
-    /// Where it listens.
+    /// The endpoint's listening address.
     pub address: std::net::SocketAddr,
-    /// The prompt's tokens that the endpoint is assumed not to have kept.
+    /// The number of prompt tokens that the endpoint is assumed not to have cached.
     pub prompt: u32,
-    /// When the slot was given.
+    /// When the slot was granted.
     pub at: Timestamp,
     /// The predicted time to the first event, in milliseconds.
     pub first_ms: u32,
-    /// How many requests are believed to run there already, over all daemons.
+    /// The estimated number of requests that already run at the endpoint, over all daemons.
     pub beside: u32,
-    /// How many prompt tokens are believed to be read there before, over all daemons.
+    /// The estimated number of prompt tokens that the endpoint reads before this prompt, over all daemons.
     pub ahead: u32,
-    /// How old the oldest digest behind that number is, in milliseconds.
+    /// The age of the oldest load report behind these estimates, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Tells a caller to come back.
+/// A refusal that asks the caller to retry later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// After how long.
+    /// How long the caller should wait before it retries.
     pub retry_after: time::Duration,
 }
 
-/// Says what becomes of a new request.
+/// The decision on a new request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// It may be sent now.
@@ -91,23 +91,23 @@
     Refused(Refused),
 }
 
-/// Says what has become of a request that waited.
+/// The decision on a request that waited.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Settled {
     /// It may be sent now.
     Granted(Grant),
-    /// It is late, and would wait too long.
+    /// It is late and would wait too long.
     Refused(Refused),
 }
 
-/// Says how a granted request ended.
+/// How a granted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// With an answer of the endpoint.
     Served,
-    /// With a failure that the endpoint answered.
+    /// With an answer of the endpoint that reports a failure.
     Failed,
-    /// With a rejection: the endpoint has no room.
+    /// With a rejection: the endpoint has no free capacity.
     Rejected,
     /// With a broken connection or a broken answer.
     Lost,
--- a/crates/decide/src/gateway/pool/endpoint.rs
+++ b/crates/decide/src/gateway/pool/endpoint.rs
@@ -6,7 +6,10 @@
 
 use crate::gateway::{
     self,
-    pool::{assumed, kept, line, load::Load, mean, rate_limit, state, versions},
+    pool::{
+        initial_estimates, linear_regression, load::Load, moving_average, prefix_cache, rate_limit,
+        state, versions,
+    },
 };
 
 #[derive(Clone, Debug)]
@@ -17,64 +20,65 @@
     pub(super) start: u64,
     /// The version of its software.
     pub(super) version: id::VersionName,
-    /// At least 1.
+    /// The number of requests that it runs at once; at least 1.
     pub(super) slots: u32,
     pub(super) draining: bool,
     /// What this daemon has sent.
     pub(super) own: Load,
-    /// The part of it that the others were told last.
-    told: Load,
-    /// What other daemons were given and have not reported yet.
-    pub(super) promised: Load,
-    /// What other daemons have reported; the sum of their latest reports.
+    /// The value of `own` when it was last reported to the other daemons.
+    reported: Load,
+    /// What was granted to other daemons and is not in their reports yet.
+    pub(super) reserved: Load,
+    /// What other daemons have reported: the sum of their latest reports.
     pub(super) others: Load,
-    /// What it has kept of prompts.
-    kept: kept::Kept,
-    /// The time between two tokens, in milliseconds.
-    step: mean::Mean,
-    /// The time between two tokens where no prompt is read in between, in milliseconds.
-    pace: mean::Low,
-    /// The time to a first event by thousands of prompt tokens, in times between two tokens.
-    first: line::Line,
-    /// The part of the answers that were failures or broken.
-    failures: mean::Mean,
+    /// The parts of prompts that the endpoint is assumed to have cached.
+    prefix_cache: prefix_cache::PrefixCache,
+    /// The mean time between two tokens, in milliseconds.
+    step_time: moving_average::MovingAverage,
+    /// The time between two tokens without a prompt being read in between, in milliseconds.
+    base_step: moving_average::LowerQuartile,
+    /// The time to a first event, in units of `base_step`, by thousands of prompt tokens.
+    first_event: linear_regression::LinearRegression,
+    /// The part of the answers that failed or broke off.
+    failure_rate: moving_average::MovingAverage,
     /// The request rate limit that the endpoint reports in its answers.
     pub(super) rate_limit: rate_limit::RateLimit,
-    /// What was seen here and the others have not been told.
+    /// The measurements that have not been reported to the other daemons yet.
     learned: gateway::Learned,
-    /// The answers that the others have not been told of, by route.
-    pub(super) answers: versions::Untold,
-    /// When anything came from the endpoint, or work was sent to it after it had none.
-    heard: Timestamp,
-    /// When anything came from the endpoint.
-    spoke: Option<Timestamp>,
-    /// Until when it gets no work.
+    /// The answers that have not been reported to the other daemons yet, by route.
+    pub(super) answers: versions::UnreportedAnswers,
+    /// When the endpoint last responded, or was sent a request while it had none running.
+    last_activity: Timestamp,
+    /// When the endpoint last responded.
+    last_response: Option<Timestamp>,
+    /// The endpoint gets no requests before this time.
     paused_until: Timestamp,
-    /// Failed connections and rejections in a row.
-    strikes: u32,
+    /// The number of failed connections and rejections in a row.
+    refusals: u32,
 }
 
-/// Longer gaps count as this, so that one pause is soon forgotten; milliseconds a token.
-const LONGEST_STEP_MS: f64 = 100.0;
+/// The longest step time that is recorded, in milliseconds per token. Longer gaps are clamped to it, so
+/// that a single pause has little effect on the mean.
+const MAX_STEP_MS: f64 = 100.0;
 
-/// Over how many events the step time is followed: about two streams.
+/// The number of events over which the step time is averaged: about two streams.
 const STEP_WINDOW: f64 = 60.0;
 
-/// An endpoint that has spoken to some daemon so recently is not left alone because another one was
-/// refused there.
-const ALIVE: time::Duration = time::Duration::from_millis(300);
+/// For this long after its last response to any daemon, an endpoint is not paused when another daemon's
+/// connection is refused.
+const RESPONSIVE_PERIOD: time::Duration = time::Duration::from_millis(300);
 
-/// Over how many answers failures are followed.
+/// The number of answers over which the failure rate is averaged.
 const FAILURE_WINDOW: f64 = 8.0;
 
-/// Prompts are followed in thousands of tokens.
+/// Prompt lengths are measured in thousands of tokens.
 const KILO: f64 = 1_000.0;
 
 impl Endpoint {
     pub(super) fn new(
         now: Timestamp,
         entry: &gateway::RosterEntry,
-        assumed: assumed::Assumed,
+        estimates: initial_estimates::InitialEstimates,
         kept_tokens: u32,
     ) -> Self {
         Self {
@@ -85,21 +89,24 @@
             slots: entry.slots.max(1),
             draining: entry.draining,
             own: Load::default(),
-            told: Load::default(),
-            promised: Load::default(),
+            reported: Load::default(),
+            reserved: Load::default(),
             others: Load::default(),
-            kept: kept::Kept::new(kept_tokens),
-            step: mean::Mean::new(assumed.step_ms, STEP_WINDOW),
-            pace: mean::Low(assumed.step_ms),
-            first: line::Line::new(assumed.begin, assumed.prompt * KILO),
-            failures: mean::Mean::new(0.0, FAILURE_WINDOW),
+            prefix_cache: prefix_cache::PrefixCache::new(kept_tokens),
+            step_time: moving_average::MovingAverage::new(estimates.step_ms, STEP_WINDOW),
+            base_step: moving_average::LowerQuartile(estimates.step_ms),
+            first_event: linear_regression::LinearRegression::new(
+                estimates.overhead_steps,
+                estimates.prompt_steps * KILO,
+            ),
+            failure_rate: moving_average::MovingAverage::new(0.0, FAILURE_WINDOW),
             rate_limit: rate_limit::RateLimit::default(),
             learned: gateway::Learned::default(),
-            answers: versions::Untold::default(),
-            heard: now,
-            spoke: None,
+            answers: versions::UnreportedAnswers::default(),
+            last_activity: now,
+            last_response: None,
             paused_until: Timestamp::ZERO,
-            strikes: 0,
+            refusals: 0,
         }
     }
 
@@ -111,90 +118,94 @@
         self.draining = entry.draining;
     }
 
-    /// Notes a request that is sent there, where `load` is believed to be already and of whose prompt `unread` tokens are
-    /// not kept.
-    pub(super) fn begin(
+    /// Records a request that is sent to the endpoint. `load` is the estimated load there before it, and
+    /// `uncached` the number of its prompt tokens that have to be read.
+    pub(super) fn add_request(
         &mut self,
         now: Timestamp,
         demand: &gateway::Demand,
-        unread: u32,
+        uncached: u32,
         load: Load,
     ) {
         if load.running == 0 {
-            self.heard = now;
+            self.last_activity = now;
         }
-        self.own.add(unread);
+        self.own.add(uncached);
         self.rate_limit.count_request(now);
-        self.kept.note(now, &demand.parts);
+        self.prefix_cache.insert(now, &demand.parts);
     }
 
-    /// Returns how many tokens that others are likely to ask for again have to go if `unread` more are read.
-    pub(super) fn displaced(&self, now: Timestamp, unread: u32) -> u32 {
-        self.kept.displaced(now, unread)
+    /// Returns the number of cached tokens likely to be used again that are evicted if `uncached` more are
+    /// read.
+    pub(super) fn evicted_tokens(&self, now: Timestamp, uncached: u32) -> u32 {
+        self.prefix_cache.evicted_tokens(now, uncached)
     }
 
-    /// Returns how many tokens of a request's prompt have to be read here.
-    pub(super) fn unread(&self, demand: &gateway::Demand) -> u32 {
-        demand.prompt.saturating_sub(self.kept.longest(&demand.parts))
+    /// Returns the number of a request's prompt tokens that have to be read here.
+    pub(super) fn uncached_tokens(&self, demand: &gateway::Demand) -> u32 {
+        demand.prompt.saturating_sub(self.prefix_cache.cached_tokens(&demand.parts))
     }
 
-    fn hear(&mut self, now: Timestamp) {
-        self.heard = now;
-        self.spoke = Some(now);
+    fn record_response(&mut self, now: Timestamp) {
+        self.last_activity = now;
+        self.last_response = Some(now);
     }
 
-    /// Takes in what another daemon has seen.
-    pub(super) fn learn(
+    /// Applies what another daemon has measured.
+    pub(super) fn apply_report(
         &mut self,
         now: Timestamp,
         load: &gateway::EndpointLoad,
         params: &gateway::PoolParams,
     ) {
         let learned = &load.learned.unwrap_or_default();
-        let silent = time::Duration::from_millis(u64::from(load.silent_ms));
-        let heard =
-            Timestamp::from_micros(now.as_micros().saturating_sub(silent.as_micros() as u64));
+        let silent_for = time::Duration::from_millis(u64::from(load.silent_ms));
+        let responded_at =
+            Timestamp::from_micros(now.as_micros().saturating_sub(silent_for.as_micros() as u64));
         if load.running > 0 || learned.served > 0 || learned.steps > 0 {
-            self.heard = self.heard.max(heard);
-            self.spoke = self.spoke.max(Some(heard));
+            self.last_activity = self.last_activity.max(responded_at);
+            self.last_response = self.last_response.max(Some(responded_at));
         }
         if learned.served > 0 || learned.steps > 0 {
-            self.strikes = 0;
+            self.refusals = 0;
         }
-        self.step.observe_many(f64::from(learned.step_ms), learned.steps);
+        self.step_time.observe_many(f64::from(learned.step_ms), learned.steps);
         if learned.steps > 0 {
-            self.pace.observe(f64::from(learned.least_ms));
+            self.base_step.observe(f64::from(learned.least_ms));
         }
         if let Some(firsts) = &learned.firsts {
-            self.first.observe(firsts);
+            self.first_event.observe(firsts);
         }
-        self.failures.observe_many(0.0, learned.served);
-        self.failures.observe_many(1.0, learned.failed);
-        // One daemon may be cut off alone; what speaks to others is not to be left alone for it.
-        let is_alive = self.spoke.is_some_and(|spoke| now.since(spoke) < ALIVE);
-        if learned.refused > 0 && !is_alive {
+        self.failure_rate.observe_many(0.0, learned.served);
+        self.failure_rate.observe_many(1.0, learned.failed);
+        // The reporting daemon may be isolated; an endpoint that responds to others is not paused because
+        // of it.
+        let is_responsive =
+            self.last_response.is_some_and(|response| now.since(response) < RESPONSIVE_PERIOD);
+        if learned.refused > 0 && !is_responsive {
             self.pause(now, params);
         }
     }
 
-    /// Describes what this daemon has at the endpoint, and takes it as told; `None` if there is nothing to tell.
+    /// Returns this daemon's load at the endpoint for a report and marks it as reported; `None` if there is
+    /// nothing to report.
     ///
-    /// Only what has changed is told if `all` is not set.
-    pub(super) fn tell(
+    /// Unless `all` is set, only changes are reported.
+    pub(super) fn take_report(
         &mut self,
         now: Timestamp,
         name: &id::EndpointName,
         all: bool,
     ) -> Option<gateway::EndpointLoad> {
-        let has_changed = std::mem::replace(&mut self.told, self.own) != self.own;
+        let has_changed = std::mem::replace(&mut self.reported, self.own) != self.own;
         let learned = std::mem::take(&mut self.learned);
         let learned = (!learned.is_empty()).then_some(learned);
         let answers = self.answers.take();
         let rate_limit = self.rate_limit.report(now);
         let has_limit_change = self.rate_limit.take_unreported_change();
         let has_news = has_changed || has_limit_change || learned.is_some() || !answers.is_empty();
-        let is_told = has_news || (all && (self.own.running > 0 || rate_limit.is_some()));
-        is_told.then(|| gateway::EndpointLoad {
+        let should_report = has_news || (all && (self.own.running > 0 || rate_limit.is_some()));
+        should_report.then(|| gateway::EndpointLoad {
             learned,
             rate_limit,
             answers,
@@ -202,28 +213,35 @@
         })
     }
 
-    pub(super) fn first(&mut self, now: Timestamp, grant: &gateway::Grant, prompt: u32) {
-        self.hear(now);
-        // What others' prompts took is not known, so only first events are taken that had none ahead.
+    pub(super) fn record_first_event(
+        &mut self,
+        now: Timestamp,
+        grant: &gateway::Grant,
+        prompt: u32,
+    ) {
+        self.record_response(now);
+        // The reading time of other requests' prompts is unknown, so only first events without a prompt
+        // ahead of them are measured.
         if grant.prompt > 0 && grant.ahead == 0 {
             let took = now.since(grant.at).as_secs_f64() * 1_000.0;
-            let seen = gateway::Firsts::one(f64::from(grant.prompt) / KILO, took / self.pace.0);
-            self.first.observe(&seen);
-            self.learned.firsts.get_or_insert_default().add(&seen);
+            let observation =
+                gateway::Firsts::one(f64::from(grant.prompt) / KILO, took / self.base_step.0);
+            self.first_event.observe(&observation);
+            self.learned.firsts.get_or_insert_default().add(&observation);
         }
-        self.strikes = 0;
+        self.refusals = 0;
         self.own.prefill = self.own.prefill.saturating_sub(prompt);
     }
 
-    pub(super) fn event(&mut self, now: Timestamp, step_ms: f64) {
-        self.hear(now);
-        let step_ms = step_ms.min(LONGEST_STEP_MS);
-        self.step.observe(step_ms);
-        self.pace.observe(step_ms);
+    pub(super) fn record_event(&mut self, now: Timestamp, step_ms: f64) {
+        self.record_response(now);
+        let step_ms = step_ms.min(MAX_STEP_MS);
+        self.step_time.observe(step_ms);
+        self.base_step.observe(step_ms);
         self.learned.note_step(step_ms);
     }
 
-    pub(super) fn end(
+    pub(super) fn end_request(
         &mut self,
         now: Timestamp,
         prompt: u32,
@@ -233,19 +251,19 @@
         self.own.remove(prompt);
         match outcome {
             gateway::Outcome::Served => {
-                self.hear(now);
-                self.strikes = 0;
+                self.record_response(now);
+                self.refusals = 0;
                 self.learned.served = self.learned.served.saturating_add(1);
-                self.failures.observe(0.0);
+                self.failure_rate.observe(0.0);
             }
             gateway::Outcome::Failed => {
-                self.hear(now);
+                self.record_response(now);
                 self.learned.failed = self.learned.failed.saturating_add(1);
-                self.failures.observe(1.0);
+                self.failure_rate.observe(1.0);
             }
             gateway::Outcome::Lost => {
                 self.learned.failed = self.learned.failed.saturating_add(1);
-                self.failures.observe(1.0);
+                self.failure_rate.observe(1.0);
             }
             gateway::Outcome::Rejected | gateway::Outcome::Unreachable => {
                 self.learned.refused = self.learned.refused.saturating_add(1);
@@ -256,61 +274,62 @@
     }
 
     fn pause(&mut self, now: Timestamp, params: &gateway::PoolParams) {
-        let factor = 1_u32 << self.strikes.min(4);
-        self.strikes += 1;
+        let factor = 1_u32 << self.refusals.min(4);
+        self.refusals += 1;
         self.paused_until = now + (params.pause * factor).min(params.longest_pause);
     }
 
-    /// Returns what all daemons are believed to have here.
+    /// Returns the estimated load by all daemons.
     pub(super) const fn load(&self) -> Load {
-        self.own.plus(self.promised).plus(self.others)
+        self.own.plus(self.reserved).plus(self.others)
     }
 
-    /// Says whether new work may go here at all.
+    /// Returns whether the endpoint may get new requests at all.
     pub(super) fn is_usable(&self, now: Timestamp) -> bool {
         !self.draining && now >= self.paused_until
     }
 
-    /// Returns for how long the endpoint has said nothing though it has `load`.
+    /// Returns how long the endpoint has been silent while it had `load`.
     pub(super) fn silence(&self, now: Timestamp, load: Load) -> time::Duration {
-        if load.running == 0 { time::Duration::ZERO } else { now.since(self.heard) }
+        if load.running == 0 { time::Duration::ZERO } else { now.since(self.last_activity) }
     }
 
-    /// Says whether the endpoint is doubted: it gets one request at a time, to find out.
-    pub(super) fn is_doubted(
+    /// Returns whether the endpoint is suspected to have failed. It then gets one request at a time as a
+    /// probe.
+    pub(super) fn is_suspect(
         &self,
         now: Timestamp,
         load: Load,
         params: &gateway::PoolParams,
     ) -> bool {
         let prompt = f64::from(load.prefill) * self.prompt_ms() * 3.0;
-        let patience = params.silence + time::Duration::from_secs_f64(prompt / 1_000.0);
-        self.strikes > 0 || self.silence(now, load) > patience
+        let timeout = params.silence + time::Duration::from_secs_f64(prompt / 1_000.0);
+        self.refusals > 0 || self.silence(now, load) > timeout
     }
 
     pub(super) const fn step_ms(&self) -> f64 {
-        self.step.value()
+        self.step_time.value()
     }
 
-    pub(super) const fn pace_ms(&self) -> f64 {
-        self.pace.0
+    pub(super) const fn base_step_ms(&self) -> f64 {
+        self.base_step.0
     }
 
-    /// Returns how long a prompt token takes, in milliseconds.
+    /// Returns the time to read a prompt token, in milliseconds.
     pub(super) fn prompt_ms(&self) -> f64 {
-        self.first.slope() / KILO * self.pace.0
+        self.first_event.slope() / KILO * self.base_step.0
     }
 
-    /// Returns how long a first event takes beside the prompts, in milliseconds.
-    pub(super) fn begin_ms(&self) -> f64 {
-        self.first.base() * self.pace.0
+    /// Returns the time to a first event without the reading of prompts, in milliseconds.
+    pub(super) fn overhead_ms(&self) -> f64 {
+        self.first_event.intercept() * self.base_step.0
     }
 
-    pub(super) const fn failure_part(&self) -> f64 {
-        self.failures.value()
+    pub(super) const fn failure_rate(&self) -> f64 {
+        self.failure_rate.value()
     }
 
-    /// Describes what this daemon has at the endpoint.
+    /// Returns this daemon's load at the endpoint.
     fn report(&self, now: Timestamp, name: &id::EndpointName) -> gateway::EndpointLoad {
         gateway::EndpointLoad {
             endpoint: name.clone(),
@@ -329,8 +348,8 @@
             endpoint: name.clone(),
             own: self.own.running,
             others: self.others.running,
-            step_ms: self.step.value(),
-            failures: self.failures.value(),
+            step_ms: self.step_time.value(),
+            failures: self.failure_rate.value(),
             silent_ms: self.silence(now, self.own).as_millis() as u64,
         }
     }
--- a/crates/decide/src/gateway/pool/load.rs
+++ b/crates/decide/src/gateway/pool/load.rs
@@ -1,11 +1,11 @@
-//! What is at an endpoint.
+//! The load of an endpoint.
 
-/// Counts requests and prompt tokens at an endpoint.
+/// The number of requests and prompt tokens at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Load {
-    /// Requests sent and not ended.
+    /// The number of requests that were sent and have not ended.
     pub(super) running: u32,
-    /// Prompt tokens sent whose first event has not come.
+    /// The number of prompt tokens of requests whose first event has not arrived.
     pub(super) prefill: u32,
 }
 
@@ -20,7 +20,7 @@
         self.prefill = self.prefill.saturating_sub(prompt);
     }
 
-    /// Returns what is left without `other`.
+    /// Returns the difference, at least zero.
     pub(super) const fn minus(self, other: Self) -> Self {
         Self {
             running: self.running.saturating_sub(other.running),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns both together.
+    /// Returns the sum.
     pub(super) const fn plus(self, other: Self) -> Self {
         Self {
             running: self.running + other.running,
--- a/crates/decide/src/gateway/pool/mod.rs
+++ b/crates/decide/src/gateway/pool/mod.rs
@@ -1,27 +1,27 @@
-//! Order and place of the requests of one service, as one daemon decides them.
+//! The queue and the placement of the requests of one service, as one daemon decides them.
 
-mod assumed;
+mod averages;
 mod demand;
 mod endpoint;
-mod flow;
-mod kept;
-mod line;
+mod grant_rates;
+mod initial_estimates;
+mod linear_regression;
 mod load;
-mod mean;
+mod moving_average;
 mod params;
-mod peers;
-mod place;
-mod promises;
+mod peer_loads;
+mod placement;
+mod prefix_cache;
 mod queue;
-mod ranks;
 mod rate_limit;
 mod rate_limit_change;
+mod recent_ranks;
+mod reservations;
+mod settle;
 mod state;
 mod token_bucket;
-mod usual;
 mod versions;
 mod view;
-mod wait;
 
 use std::{collections, net};
 
@@ -36,30 +36,31 @@
 
 /// Decides which requests go to which endpoint of a service, and when.
 ///
-/// Engines admit in order of arrival and know no priority, so a request is sent only where a slot
-/// is free, and waits here, where a more urgent one can still pass it. One daemon decides for all
-/// that agree on it; what the others have sent it knows from their reports. Two daemons that decide
-/// at once, since their members differ for a moment, cost short waits at the engines and nothing
-/// else.
+/// Engines serve requests in order of arrival and know no priorities. So a request is sent only to an
+/// endpoint with a free slot; until then it waits in the queue of this pool, where a more urgent request
+/// can still overtake it. One daemon places the requests of all daemons that agree on it, and learns from
+/// their load reports what they have sent. While the member lists of two daemons differ, both may place
+/// requests; this causes short waits at the engines and nothing else.
 #[derive(Clone, Debug)]
 pub struct Pool {
     params: PoolParams,
-    /// Tokens in an event of a stream; 0 if the service runs no model.
+    /// The number of tokens in an event of a stream; 0 if the service runs no model.
     event_tokens: u32,
     endpoints: collections::BTreeMap<id::EndpointName, endpoint::Endpoint>,
     queue: queue::Queue,
-    peers: peers::Peers,
+    peer_loads: peer_loads::PeerLoads,
     next_ticket: u64,
-    flow: flow::Flow,
-    ranks: ranks::Ranks,
-    /// By daemon, the places that it was given, the oldest first.
-    promises: collections::HashMap<net::SocketAddr, collections::VecDeque<promises::Promise>>,
-    /// Which versions may run requests, and what is seen of them.
+    grant_rates: grant_rates::GrantRates,
+    recent_ranks: recent_ranks::RecentRanks,
+    /// The reservations of each other daemon, oldest first.
+    reservations:
+        collections::HashMap<net::SocketAddr, collections::VecDeque<reservations::Reservation>>,
+    /// Which versions may run requests, and the measurements of them.
     versions: versions::Versions,
-    /// What is usual among the endpoints.
-    usual: usual::Usual,
-    /// Whether endpoints were listed or removed since that was worked out.
-    has_listed: bool,
+    /// The averages over the endpoints.
+    averages: averages::Averages,
+    /// Whether endpoints were listed or removed since `averages` was computed.
+    has_roster_change: bool,
     /// The rate limit changes since the last call of `take_rate_limit_changes`.
     rate_limit_changes: Vec<RateLimitChange>,
 }
@@ -72,88 +73,94 @@
             event_tokens,
             endpoints: collections::BTreeMap::new(),
             queue: queue::Queue::default(),
-            peers: peers::Peers::default(),
+            peer_loads: peer_loads::PeerLoads::default(),
             next_ticket: 0,
-            flow: flow::Flow::default(),
-            ranks: ranks::Ranks::default(),
-            promises: collections::HashMap::new(),
+            grant_rates: grant_rates::GrantRates::default(),
+            recent_ranks: recent_ranks::RecentRanks::default(),
+            reservations: collections::HashMap::new(),
             versions: versions::Versions::default(),
-            usual: usual::Usual::default(),
-            has_listed: true,
+            averages: averages::Averages::default(),
+            has_roster_change: true,
             rate_limit_changes: Vec::new(),
         }
     }
 
-    /// Takes in a changed service.
+    /// Sets the number of tokens per event after the service has changed.
     pub const fn set_event_tokens(&mut self, event_tokens: u32) {
         self.event_tokens = event_tokens;
     }
 
-    /// Takes in a listed endpoint.
+    /// Adds a listed endpoint or updates it. An endpoint that has started again replaces its earlier start.
     pub fn list(&mut self, now: Timestamp, entry: &gateway::RosterEntry) {
         match self.endpoints.get_mut(&entry.endpoint) {
             Some(endpoint) if endpoint.start == entry.start => endpoint.update(entry),
             _ => {
-                self.peers.forget_endpoint(&entry.endpoint);
-                let endpoint =
-                    endpoint::Endpoint::new(now, entry, self.assumed(now), self.params.kept_tokens);
+                self.peer_loads.remove_endpoint(&entry.endpoint);
+                let endpoint = endpoint::Endpoint::new(
+                    now,
+                    entry,
+                    self.initial_estimates(now),
+                    self.params.kept_tokens,
+                );
                 self.endpoints.insert(entry.endpoint.clone(), endpoint);
             }
         }
-        self.has_listed = true;
+        self.has_roster_change = true;
     }
 
-    /// Returns the endpoint of a grant, unless it has started again since: what became of the grant says
-    /// nothing of the new start, which has none of its work.
-    fn granted(&mut self, grant: &Grant) -> Option<&mut endpoint::Endpoint> {
+    /// Returns the endpoint of a grant, or `None` if it has started again since the grant.
+    ///
+    /// The outcome of the grant says nothing about the new start, which runs none of the earlier requests.
+    fn granted_endpoint(&mut self, grant: &Grant) -> Option<&mut endpoint::Endpoint> {
         let endpoint = self.endpoints.get_mut(&grant.endpoint)?;
         (endpoint.start == grant.start).then_some(endpoint)
     }
 
-    /// Forgets an endpoint; work that it still has ends by itself.
+    /// Removes an endpoint. Requests that still run there end on their own.
     pub fn remove(&mut self, endpoint: &id::EndpointName) {
         self.endpoints.remove(endpoint);
-        self.has_listed = true;
+        self.has_roster_change = true;
     }
 
-    /// Takes in a new request: grants it a place, queues it or refuses it.
+    /// Handles a new request: grants it a slot, queues it or refuses it.
     pub fn arrive(&mut self, now: Timestamp, demand: Demand) -> Verdict {
         let ticket = self.new_ticket();
-        self.refresh(now);
-        self.ranks.note(now, demand.rank);
-        let service = self.expected_service(demand.prompt, demand.expected);
-        let place = self.queue.place(now, ticket, &demand, service);
-        // What waits could not use what is free, or would have it: long prompts wait for fast endpoints.
-        if let Some(grant) = self.grant(now, place.class(), &demand) {
+        self.refresh_averages(now);
+        self.recent_ranks.record(now, demand.rank);
+        let service_time = self.expected_service_time(demand.prompt, demand.expected);
+        let position = self.queue.position(now, ticket, &demand, service_time);
+        // A free slot may be given past the queue: the waiting requests could not use it, such as long
+        // prompts that wait for fast endpoints, or they would have been granted it already.
+        if let Some(grant) = self.grant(now, position.class(), &demand) {
             return Verdict::Granted(grant);
         }
-        if let Some(refused) = self.hopeless(now, &demand, &place) {
+        if let Some(refused) = self.refusal(now, &demand, &position) {
             return Verdict::Refused(refused);
         }
-        self.flow.queued(now, place.class());
-        self.queue.push(place, demand, service);
+        self.grant_rates.start_waiting(now, position.class());
+        self.queue.push(position, demand, service_time);
         Verdict::Queued(ticket)
     }
 
-    /// Takes a request out of the queue: its caller has left or its time is up.
+    /// Removes a request from the queue because its caller has left or its time is up.
     pub fn give_up(&mut self, now: Timestamp, ticket: Ticket) {
-        if let Some(class) = self.queue.take(ticket) {
-            self.flow.left(now, class);
+        if let Some(class) = self.queue.remove(ticket) {
+            self.grant_rates.stop_waiting(now, class);
         }
     }
 
-    /// Notes that the first event or the answer of a request has come.
+    /// Records that the first event or the answer of a request has arrived.
     pub fn first(&mut self, now: Timestamp, grant: &Grant, prompt: u32) {
-        self.note_answer(now, grant);
-        if let Some(endpoint) = self.granted(grant) {
-            endpoint.first(now, grant, prompt);
+        self.record_answer(now, grant);
+        if let Some(endpoint) = self.granted_endpoint(grant) {
+            endpoint.record_first_event(now, grant, prompt);
         }
     }
 
     /// Records the rate limit from an endpoint's answer, in requests per second; `None` if the endpoint
     /// sets no limit. Returns whether the limit has changed.
     pub fn note_rate_limit(&mut self, now: Timestamp, grant: &Grant, per_s: Option<f64>) -> bool {
-        let endpoint = self.granted(grant);
+        let endpoint = self.granted_endpoint(grant);
         let has_changed = endpoint.is_some_and(|endpoint| endpoint.rate_limit.note(now, per_s));
         if has_changed {
             let endpoint = grant.endpoint.clone();
@@ -167,74 +174,74 @@
         std::mem::take(&mut self.rate_limit_changes)
     }
 
-    /// Notes an event of a stream that came `gap` seconds after the one before.
+    /// Records an event of a stream that arrived `gap` seconds after the one before.
     pub fn event(&mut self, now: Timestamp, grant: &Grant, gap: f64) {
         let tokens = f64::from(self.event_tokens.max(1));
-        if let Some(endpoint) = self.granted(grant) {
-            endpoint.event(now, gap * 1_000.0 / tokens);
+        if let Some(endpoint) = self.granted_endpoint(grant) {
+            endpoint.record_event(now, gap * 1_000.0 / tokens);
         }
     }
 
-    /// Notes how a granted request ended; `prompt` is 0 if its first event had come.
+    /// Records how a granted request ended; `prompt` is 0 if its first event had arrived.
     pub fn end(&mut self, now: Timestamp, grant: &Grant, prompt: u32, outcome: Outcome) {
         let params = self.params.clone();
         if matches!(outcome, Outcome::Failed | Outcome::Lost) {
-            self.note_failure(now, grant);
+            self.record_failure(now, grant);
         }
-        if let Some(endpoint) = self.granted(grant) {
-            endpoint.end(now, prompt, outcome, &params);
+        if let Some(endpoint) = self.granted_endpoint(grant) {
+            endpoint.end_request(now, prompt, outcome, &params);
         }
     }
 
-    /// Takes in what another daemon has at this service; says whether a request has ended somewhere, so that one that
-    /// waits may have its place.
+    /// Applies another daemon's load report. Returns whether a request has ended somewhere, so that a
+    /// waiting request may get its slot.
     pub fn note_peer(
         &mut self,
         now: Timestamp,
         peer: net::SocketAddr,
         report: &gateway::LoadReport,
     ) -> bool {
-        let noted = self.peers.note(now, peer, report, &mut self.endpoints);
-        let peers::Noted::Taken { has_freed } = noted else { return false };
+        let outcome = self.peer_loads.apply(now, peer, report, &mut self.endpoints);
+        let peer_loads::ReportOutcome::Applied { has_freed } = outcome else { return false };
         for load in &report.endpoints {
-            // A start that is not known here, or over, is none of the endpoints that are.
+            // Ignores reports about a start of the endpoint that is not known here or is over.
             let known = self.endpoints.get_mut(&load.endpoint);
             if let Some(endpoint) = known.filter(|known| known.start == load.start) {
-                endpoint.learn(now, load, &self.params);
+                endpoint.apply_report(now, load, &self.params);
                 if let Some(report) = &load.rate_limit
                     && endpoint.rate_limit.learn(now, report)
                 {
                     let (endpoint, per_s) = (load.endpoint.clone(), report.per_s);
                     self.rate_limit_changes.push(RateLimitChange { endpoint, per_s });
                 }
-                self.versions.note_told(now, &endpoint.version, load);
+                self.versions.record_report(now, &endpoint.version, load);
             }
         }
-        self.redeem(peer, report.placed);
+        self.confirm_reservations(peer, report.placed);
         has_freed
     }
 
-    /// Forgets the work of daemons that have not repeated their reports for too long, and places that were not taken.
+    /// Drops the load of daemons that have not repeated their reports in time, and expired reservations.
     pub fn expire_peers(&mut self, now: Timestamp) {
-        self.peers.expire(now, &mut self.endpoints);
-        self.lapse(now);
-        self.note_busy(now);
+        self.peer_loads.expire(now, &mut self.endpoints);
+        self.expire_reservations(now);
+        self.record_busy(now);
     }
 
-    /// Forgets a daemon that is gone, leaves or says nothing more.
+    /// Drops the load and the reservations of a daemon that is gone, is leaving or no longer reports.
     pub fn forget_peer(&mut self, peer: net::SocketAddr) {
-        self.peers.forget(peer, &mut self.endpoints);
-        self.redeem(peer, u64::MAX);
+        self.peer_loads.remove_peer(peer, &mut self.endpoints);
+        self.confirm_reservations(peer, u64::MAX);
     }
 
-    /// Returns what this daemon has at the endpoints and has learned since the last call: all, or only where
-    /// something has changed.
+    /// Returns this daemon's load at the endpoints and what it has learned since the last call: everything
+    /// if `all` is set, else only what has changed.
     pub fn report(&mut self, now: Timestamp, all: bool) -> Vec<gateway::EndpointLoad> {
         let endpoints = self.endpoints.iter_mut();
-        endpoints.filter_map(|(name, endpoint)| endpoint.tell(now, name, all)).collect()
+        endpoints.filter_map(|(name, endpoint)| endpoint.take_report(now, name, all)).collect()
     }
 
-    /// Says whether this daemon has work at an endpoint, or a rate limit to repeat to the other
+    /// Returns whether this daemon has requests at an endpoint, or a rate limit to repeat to the other
     /// daemons.
     pub fn has_work(&self, now: Timestamp) -> bool {
         self.endpoints
@@ -244,25 +251,25 @@
 
     /// Returns how long a request is expected to run at an endpoint of mean speed.
     pub fn expected_time(&self, prompt: u32, expected: f64) -> std::time::Duration {
-        self.expected_service(prompt, expected).whole
+        self.expected_service_time(prompt, expected).total
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns how many endpoints are listed.
+    /// Returns the number of listed endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Says whether no endpoint is listed.
+    /// Returns whether no endpoint is listed.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Returns what is believed of each endpoint, for logs and metrics.
+    /// Returns the estimated state of each endpoint, for logs and metrics.
     pub fn states(&self, now: Timestamp) -> Vec<EndpointState> {
         let state =
             |(name, endpoint): (&id::EndpointName, &endpoint::Endpoint)| endpoint.state(now, name);
@@ -274,19 +281,21 @@
         Ticket(self.next_ticket)
     }
 
-    /// Returns how long a request is expected to take: to its first event where that is shortest, as nothing is
-    /// late before no endpoint can be in time; to its end at an endpoint of mean speed.
-    fn expected_service(&self, prompt: u32, expected: f64) -> queue::Service {
-        let usual = self.usual;
+    /// Returns how long a request is expected to take.
+    ///
+    /// The time to the first event is that of the fastest endpoint, since a request is not late as long as
+    /// any endpoint can serve it in time. The time to the end is that of an endpoint of mean speed.
+    fn expected_service_time(&self, prompt: u32, expected: f64) -> queue::ServiceTime {
+        let averages = self.averages;
         let prompt = f64::from(prompt);
-        let read = prompt * usual.prompt_ms;
-        let first =
-            |endpoint: &endpoint::Endpoint| endpoint.begin_ms() + prompt * endpoint.prompt_ms();
-        let least = self.endpoints.values().map(first).fold(f64::INFINITY, f64::min);
+        let read_ms = prompt * averages.prompt_ms;
+        let first_ms =
+            |endpoint: &endpoint::Endpoint| endpoint.overhead_ms() + prompt * endpoint.prompt_ms();
+        let least_ms = self.endpoints.values().map(first_ms).fold(f64::INFINITY, f64::min);
         let ms = |ms: f64| std::time::Duration::from_secs_f64((ms / 1_000.0).clamp(0.0, 60.0));
-        queue::Service {
-            first: ms(if least.is_finite() { least } else { 0.0 }),
-            whole: ms(read + expected * usual.step_ms),
+        queue::ServiceTime {
+            first_event: ms(if least_ms.is_finite() { least_ms } else { 0.0 }),
+            total: ms(read_ms + expected * averages.step_ms),
         }
     }
 }
--- a/crates/decide/src/gateway/pool/params.rs
+++ b/crates/decide/src/gateway/pool/params.rs
@@ -1,59 +1,67 @@
-//! Settings of a pool's decisions.
+//! The settings of a pool's decisions.
 
 use std::time;
 
-/// Holds the settings of the decisions on one pool.
+/// The settings of the decisions on one pool.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolParams {
-    /// The time between two tokens that is assumed of an endpoint before it was measured; 4 ms.
+    /// The time between two tokens that is assumed of an endpoint without measurements, in milliseconds; 4.
     pub step_ms: f64,
-    /// How long a prompt token takes at the assumed step time before it was measured, in milliseconds; 1/38.
+    /// The time to read a prompt token at the assumed `step_ms`, without measurements, in milliseconds;
+    /// 1/38.
     pub prompt_ms: f64,
-    /// How much longer the time to the first event weighs than the rest of a stream; 2.
+    /// The weight of the time to the first event, relative to the rest of a stream; 2.
     pub first_weight: f64,
-    /// How much the delay weighs that a prompt means for each stream beside it; 0.3.
+    /// The weight of the delay that reading a prompt causes to each stream running at the endpoint; 0.6.
     pub beside_weight: f64,
-    /// How much the time weighs that reading again takes of what a prompt pushes out of an endpoint's memory; 0.5.
+    /// The weight of the time to read again what a prompt evicts from an endpoint's prefix cache; 0.5.
     pub displaced_weight: f64,
-    /// The part of the longest unnoticed pause that the prompts at an endpoint may take; 0.6.
+    /// The part of the longest unnoticed pause of a stream that reading prompts at an endpoint may take;
+    /// 0.6.
     pub pause_part: f64,
-    /// How much the time beyond it weighs for each stream there; 2.
+    /// The weight, for each stream at the endpoint, of the time by which reading prompts exceeds that part;
+    /// 2.
     pub pause_weight: f64,
-    /// What a slot of an endpoint costs that is twice as fast as the mean, in milliseconds; 150.
+    /// The cost of a slot of an endpoint that is twice as fast as the mean, in milliseconds; 300.
     ///
-    /// More than a short prompt gains there, less than a long one does: fast endpoints are kept
-    /// for long prompts, whose reading stalls the streams beside them the least there.
+    /// This is more than a short prompt gains there and less than a long prompt does. So fast endpoints are
+    /// kept for long prompts, which delay the other streams there the least.
     pub fast_ms: f64,
-    /// What an endpoint in another availability zone costs, in milliseconds; 5.
+    /// The cost of an endpoint in another availability zone, in milliseconds; 5.
     ///
-    /// More than the way there and back, since bytes between availability zones are paid for.
+    /// This is more than the round trip takes, since traffic between availability zones is charged.
     pub zone_ms: f64,
-    /// What the certainty of a failed answer costs, in milliseconds; 3,000.
+    /// The cost of an answer that is certain to fail, in milliseconds; 3,000.
     pub failure_ms: f64,
-    /// The part of the time left that the predicted wait may fill; 0.7.
+    /// The part of a request's remaining time that its predicted wait may take; 0.7.
     pub patience_part: f64,
-    /// From how many slots on a plain endpoint may have one request waiting at it while all are taken; 4.
+    /// The number of slots from which a plain endpoint may have one more request queued at it while all
+    /// slots are taken; 4.
     pub queue_slots: u32,
-    /// The part of the slots that the last of several ranks leaves free; 0.04.
+    /// The part of the slots that requests of the last of several ranks leave free; 0.04.
     pub reserve: f64,
-    /// The part of the time left that the expected answer may fill; 1.
+    /// The part of the remaining time that the expected answer may take; 1.
     ///
-    /// Callers' estimates are far off either way, so a lower value would keep out too many.
+    /// Callers' estimates are far too high or too low, so a lower value would exclude too many requests.
     pub feasible_part: f64,
-    /// The time to a first event beside the prompt's own before it was measured, in milliseconds; 60.
+    /// The time to a first event without the reading of the prompt, assumed without measurements, in
+    /// milliseconds; 60.
     pub first_ms: f64,
-    /// The shortest time after which a refused caller is asked to come back; 300 ms.
+    /// The shortest time after which a refused caller is asked to retry; 300 ms.
     pub least_retry_after: time::Duration,
-    /// How many tokens of prompts an engine is assumed to keep; 130,000.
+    /// The number of prompt tokens that an engine's prefix cache is assumed to hold; 130,000.
     ///
-    /// Four fifths of what the smallest engines known have memory for: the rest is taken by what runs.
+    /// This is four fifths of what the smallest known engines have memory for; running requests use the
+    /// rest.
     pub kept_tokens: u32,
-    /// How long an endpoint with work may say nothing before it is suspected; 600 ms.
+    /// How long an endpoint with running requests may stay silent before it is suspected to have failed;
+    /// 600 ms.
     ///
-    /// Long prompts stall the streams beside them for up to about 300 ms on slow engines.
+    /// Long prompts delay the other streams by up to about 300 ms on slow engines.
     pub silence: time::Duration,
-    /// How long an endpoint gets nothing after a failed connection; 400 ms, doubled each time.
+    /// How long an endpoint gets no requests after a refused or failed connection; 400 ms, doubled each
+    /// time.
     pub pause: time::Duration,
     /// The longest such pause; 3 s.
     pub longest_pause: time::Duration,
--- a/crates/decide/src/gateway/pool/queue.rs
+++ b/crates/decide/src/gateway/pool/queue.rs
@@ -1,66 +1,67 @@
-//! The waiting requests of one daemon at one service.
+//! The queue of the waiting requests of one service at one daemon.
 
 use std::{collections, time};
 
 use trefoildyke_types::time::Timestamp;
 
-use crate::gateway::{Demand, Ticket, pool::flow};
+use crate::gateway::{Demand, Ticket, pool::grant_rates};
 
-/// Orders waiting requests by rank, then by whether their objective can still be met, then by
+/// A queue of waiting requests, ordered by rank, then by whether the objective can still be met, then by
 /// objective and length.
 ///
-/// The load that this answers: a burst of twice the usual for a few seconds, with answers whose
-/// lengths differ a hundredfold. A queue in order of arrival then serves everyone late, and the
-/// longest tenth of the answers takes more than half of the slots' time. Here
-/// - a request whose objective has passed steps back behind those of its rank that can still be
-///   served in time;
-/// - a request counts as due later the longer it will hold its slot, so that the few long ones
-///   wait until the burst is over;
-/// - among the late, a caller that was refused before goes first, since it will not come again. It
-///   does not go before those that are in time: under lasting overload everyone would be late.
+/// The order is designed for a burst of twice the usual load for a few seconds, with answers whose lengths
+/// differ a hundredfold. In order of arrival everyone would be served late, and the longest tenth of the
+/// answers would take more than half of the slots' time. Instead:
+/// - A request whose objective can no longer be met moves behind those of its rank that can still be served
+///   in time.
+/// - The longer a request will hold its slot, the later it is due, so that the few long ones wait until the
+///   burst is over.
+/// - Among the late requests, those of callers that were refused before go first, since these callers will
+///   not retry. They do not overtake requests that are in time: under lasting overload everyone would be
+///   late.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
     waiting: collections::HashMap<Ticket, Waiting>,
-    order: collections::BTreeSet<Place>,
-    /// When the objectives of requests that are not late pass.
-    objectives: collections::BTreeSet<(Timestamp, Ticket)>,
+    order: collections::BTreeSet<Position>,
+    /// The times after which requests can no longer meet their objectives, for those that are not late.
+    latest_starts: collections::BTreeSet<(Timestamp, Ticket)>,
 }
 
 #[derive(Clone, Debug)]
 struct Waiting {
     demand: Demand,
-    place: Place,
-    service: Service,
+    position: Position,
+    service_time: ServiceTime,
 }
 
-/// Says how long a request is expected to take once it has a slot.
+/// How long a request is expected to take once it has a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Service {
-    /// To its first event.
-    pub(super) first: time::Duration,
-    /// To its end.
-    pub(super) whole: time::Duration,
+pub(super) struct ServiceTime {
+    /// The time to its first event.
+    pub(super) first_event: time::Duration,
+    /// The time to its end.
+    pub(super) total: time::Duration,
 }
 
-impl Service {
-    /// Returns until when a request must have a slot to meet its objective.
-    fn latest(&self, demand: &Demand) -> Timestamp {
-        let first = self.first.as_micros() as u64;
-        Timestamp::from_micros(demand.objective.as_micros().saturating_sub(first))
+impl ServiceTime {
+    /// Returns the latest time at which a request must have a slot to meet its objective.
+    fn latest_start(&self, demand: &Demand) -> Timestamp {
+        let first_event = self.first_event.as_micros() as u64;
+        Timestamp::from_micros(demand.objective.as_micros().saturating_sub(first_event))
     }
 }
 
 /// How much later a request is due for each second that it will hold its slot, in seconds.
 const LENGTH_WEIGHT: f64 = 0.3;
 
-/// How much later it is due at most: about as long as a request stays in time, so that a long one goes
-/// before short ones that come that much later. With three seconds the longest tenth of the answers
-/// was served less than half as often as all (0.26 of 0.56 in an overload of some seconds).
-const LONGEST_DELAY: time::Duration = time::Duration::from_millis(400);
+/// The longest such delay: about as long as a request stays in time, so that a long request overtakes short
+/// ones that arrive that much later. With three seconds, the longest tenth of the answers was served less
+/// than half as often as all answers (0.26 against 0.56 in an overload of some seconds).
+const MAX_LENGTH_DELAY: time::Duration = time::Duration::from_millis(400);
 
-/// Says where a request stands in the queue.
+/// The position of a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct Position {
     rank: u8,
     late: bool,
     due: Timestamp,
@@ -69,97 +70,97 @@
 
 /// A request that has become late.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Moved {
+pub(super) struct LateRequest {
     pub(super) ticket: Ticket,
     /// Its class before.
-    pub(super) from: usize,
+    pub(super) from_class: usize,
     /// Its class now.
-    pub(super) to: usize,
+    pub(super) to_class: usize,
 }
 
-impl Place {
-    /// Returns the class: requests of a lower one go first.
+impl Position {
+    /// Returns the class; requests of a lower class go first.
     pub(super) const fn class(&self) -> usize {
         class(self.rank, self.late)
     }
 }
 
-/// Returns the class of requests of a rank: twice the rank, and one more for those that are late.
+/// Returns the class of requests of a rank: twice the rank, plus one for late requests.
 pub(super) const fn class(rank: u8, late: bool) -> usize {
     rank as usize * 2 + late as usize
 }
 
 impl Queue {
-    /// Returns where a new request would stand.
-    pub(super) fn place(
+    /// Returns the position that a new request would have.
+    pub(super) fn position(
         &self,
         now: Timestamp,
         ticket: Ticket,
         demand: &Demand,
-        service: Service,
-    ) -> Place {
-        let late = now >= service.latest(demand);
-        Place { rank: demand.rank, late, due: due(demand, late, service), ticket }
+        service_time: ServiceTime,
+    ) -> Position {
+        let late = now >= service_time.latest_start(demand);
+        Position { rank: demand.rank, late, due: due(demand, late, service_time), ticket }
     }
 
-    pub(super) fn push(&mut self, place: Place, demand: Demand, service: Service) {
-        if !place.late {
-            self.objectives.insert((service.latest(&demand), place.ticket));
+    pub(super) fn push(&mut self, position: Position, demand: Demand, service_time: ServiceTime) {
+        if !position.late {
+            self.latest_starts.insert((service_time.latest_start(&demand), position.ticket));
         }
-        self.order.insert(place);
-        self.waiting.insert(place.ticket, Waiting { demand, place, service });
+        self.order.insert(position);
+        self.waiting.insert(position.ticket, Waiting { demand, position, service_time });
     }
 
-    /// Moves the requests back whose objective cannot be met any more, and returns them.
-    pub(super) fn note_late(&mut self, now: Timestamp) -> Vec<Moved> {
+    /// Moves the requests back whose objectives can no longer be met, and returns them.
+    pub(super) fn demote_late(&mut self, now: Timestamp) -> Vec<LateRequest> {
         let mut late = Vec::new();
-        while let Some((latest, ticket)) = self.objectives.first().copied() {
-            if latest > now {
+        while let Some((latest_start, ticket)) = self.latest_starts.first().copied() {
+            if latest_start > now {
                 break;
             }
-            self.objectives.remove(&(latest, ticket));
+            self.latest_starts.remove(&(latest_start, ticket));
             if let Some(waiting) = self.waiting.get_mut(&ticket) {
-                let from = waiting.place.class();
-                self.order.remove(&waiting.place);
-                waiting.place.late = true;
-                waiting.place.due = due(&waiting.demand, true, waiting.service);
-                self.order.insert(waiting.place);
-                late.push(Moved { ticket, from, to: waiting.place.class() });
+                let from_class = waiting.position.class();
+                self.order.remove(&waiting.position);
+                waiting.position.late = true;
+                waiting.position.due = due(&waiting.demand, true, waiting.service_time);
+                self.order.insert(waiting.position);
+                late.push(LateRequest { ticket, from_class, to_class: waiting.position.class() });
             }
         }
         late
     }
 
-    /// Returns a waiting request and where it stands.
-    pub(super) fn find(&self, ticket: Ticket) -> Option<(&Demand, &Place)> {
+    /// Returns a waiting request and its position.
+    pub(super) fn get(&self, ticket: Ticket) -> Option<(&Demand, &Position)> {
         let waiting = self.waiting.get(&ticket)?;
-        Some((&waiting.demand, &waiting.place))
+        Some((&waiting.demand, &waiting.position))
     }
 
-    /// Takes a request out and returns its class.
-    pub(super) fn take(&mut self, ticket: Ticket) -> Option<usize> {
+    /// Removes a request and returns its class.
+    pub(super) fn remove(&mut self, ticket: Ticket) -> Option<usize> {
         let waiting = self.waiting.remove(&ticket)?;
-        self.order.remove(&waiting.place);
-        self.objectives.remove(&(waiting.service.latest(&waiting.demand), ticket));
-        Some(waiting.place.class())
+        self.order.remove(&waiting.position);
+        self.latest_starts.remove(&(waiting.service_time.latest_start(&waiting.demand), ticket));
+        Some(waiting.position.class())
     }
 
     /// Returns the requests in order, with their classes.
     pub(super) fn iter(&self) -> impl Iterator<Item = (Ticket, usize, &Demand)> {
-        self.order.iter().filter_map(|place| {
-            let waiting = self.waiting.get(&place.ticket)?;
-            Some((place.ticket, place.class(), &waiting.demand))
+        self.order.iter().filter_map(|position| {
+            let waiting = self.waiting.get(&position.ticket)?;
+            Some((position.ticket, position.class(), &waiting.demand))
         })
     }
 
-    /// Returns how many requests stand before a place.
-    pub(super) fn ahead_of(&self, place: &Place) -> flow::Ahead {
-        count(self.order.iter().take_while(|other| *other < place), place.class())
+    /// Returns the number of requests ahead of a position.
+    pub(super) fn ahead_of(&self, position: &Position) -> grant_rates::Ahead {
+        count_ahead(self.order.iter().take_while(|other| *other < position), position.class())
     }
 
-    /// Returns how many requests of `class` and of those that go first wait.
-    pub(super) fn up_to(&self, class: usize) -> flow::Ahead {
-        count(self.order.iter().take_while(|place| place.class() <= class), class)
+    /// Returns the number of waiting requests of `class` and of the classes before it.
+    pub(super) fn through_class(&self, class: usize) -> grant_rates::Ahead {
+        count_ahead(self.order.iter().take_while(|position| position.class() <= class), class)
     }
 
     pub(super) fn len(&self) -> usize {
@@ -167,20 +168,23 @@
     }
 }
 
-fn count<'a>(places: impl Iterator<Item = &'a Place>, class: usize) -> flow::Ahead {
-    places.fold(flow::Ahead::default(), |ahead, place| {
-        if place.class() < class {
-            flow::Ahead { first: ahead.first + 1, ..ahead }
+fn count_ahead<'a>(
+    positions: impl Iterator<Item = &'a Position>,
+    class: usize,
+) -> grant_rates::Ahead {
+    positions.fold(grant_rates::Ahead::default(), |ahead, position| {
+        if position.class() < class {
+            grant_rates::Ahead { lower_classes: ahead.lower_classes + 1, ..ahead }
         } else {
-            flow::Ahead { own: ahead.own + 1, ..ahead }
+            grant_rates::Ahead { own_class: ahead.own_class + 1, ..ahead }
         }
     })
 }
 
-fn due(demand: &Demand, late: bool, service: Service) -> Timestamp {
+fn due(demand: &Demand, late: bool, service_time: ServiceTime) -> Timestamp {
     if late && demand.returning {
         return Timestamp::ZERO;
     }
     let base = if late { demand.leaves } else { demand.objective };
-    base + service.whole.mul_f64(LENGTH_WEIGHT).min(LONGEST_DELAY)
+    base + service_time.total.mul_f64(LENGTH_WEIGHT).min(MAX_LENGTH_DELAY)
 }
--- a/crates/decide/src/gateway/pool/rate_limit.rs
+++ b/crates/decide/src/gateway/pool/rate_limit.rs
@@ -23,7 +23,7 @@
 
 /// The minimum rate that an endpoint with a limit is allowed, in requests per second. An endpoint
 /// can withdraw its limit only in the answer to a request.
-const LEAST_RATE: f64 = 0.25;
+const MIN_RATE: f64 = 0.25;
 
 /// How long a received limit is repeated to the daemons that place requests, since several messages
 /// in a row may be lost.
@@ -68,7 +68,7 @@
     }
 
     fn update_bucket(&mut self, now: Timestamp, per_s: Option<f64>) {
-        let Some(rate) = per_s.map(|per_s| per_s.max(LEAST_RATE)) else {
+        let Some(rate) = per_s.map(|per_s| per_s.max(MIN_RATE)) else {
             self.bucket = None;
             return;
         };
@@ -88,7 +88,7 @@
         self.bucket.as_ref().map(|bucket| bucket.available(now))
     }
 
-    /// Says whether a change has yet to be reported to the other daemons, and marks it as reported.
+    /// Returns whether a change has yet to be reported to the other daemons, and marks it as reported.
     pub(super) const fn take_unreported_change(&mut self) -> bool {
         std::mem::replace(&mut self.has_unreported_change, false)
     }
--- a/crates/decide/src/gateway/pool/state.rs
+++ b/crates/decide/src/gateway/pool/state.rs
@@ -1,20 +1,20 @@
-//! What a daemon shows of an endpoint.
+//! The state of an endpoint for logs and metrics.
 
 use trefoildyke_types::id;
 
-/// Describes what a daemon believes of an endpoint.
+/// A daemon's estimate of an endpoint's state.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct EndpointState {
     /// The endpoint.
     pub endpoint: id::EndpointName,
-    /// Requests of this daemon.
+    /// The number of requests of this daemon.
     pub own: u32,
-    /// Requests of the other daemons, as they told last.
+    /// The number of requests of the other daemons, by their latest reports.
     pub others: u32,
     /// The time between two tokens, in milliseconds.
     pub step_ms: f64,
-    /// The part of the answers that were failures.
+    /// The part of the answers that failed.
     pub failures: f64,
-    /// For how long it has said nothing though it has work, in milliseconds.
+    /// How long the endpoint has been silent while it had requests of this daemon, in milliseconds.
     pub silent_ms: u64,
 }
