--- a/crates/decide/tests/testsuite/gateway/flood.rs
+++ b/crates/decide/tests/testsuite/gateway/flood.rs
@@ -1,4 +1,4 @@
-//! Floods of one account over several daemons, as the tests of quotas play them.
+//! Simulations of floods of one client account over several daemons, for the tests of quotas.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -28,7 +28,7 @@
     QuotaParams { window_s: 8.0, overshoot: 0.1, slack: 72_000.0 }
 }
 
-/// The largest use in any window, by the ends of uses.
+/// Returns the largest use in any window, given the time and the cost of each use.
 pub(super) fn largest(uses: &[(u64, f64)]) -> f64 {
     let window = |end: u64| {
         let within = uses.iter().filter(|(ms, _)| *ms <= end && *ms + WINDOW_MS > end);
@@ -48,42 +48,46 @@
     vec![quota; daemons]
 }
 
-/// How long the entry of a daemon lasts that does not reach the store.
-const ENTRY: Duration = Duration::from_millis(5_000);
+/// How long the entry of a daemon that cannot reach the store remains valid.
+const ENTRY_TTL: Duration = Duration::from_millis(5_000);
 
-/// A flood plays out at several daemons, each of which asks the keepers of the account as the gateway does.
+/// A simulated flood at several daemons, each of which asks the keepers of the account as the gateway does.
 pub(super) struct Flood {
     pub(super) account: Account,
     pub(super) params: QuotaParams,
     pub(super) daemons: usize,
-    /// What each request costs.
+    /// The cost of each request.
     pub(super) cost: f64,
-    /// How many milliseconds pass between two requests at each daemon.
-    pub(super) gap: usize,
-    /// Which daemon reaches no other, from when on and for how long.
+    /// The time between two requests at each daemon, in milliseconds.
+    pub(super) interval_ms: usize,
+    /// The daemons that cannot reach any other one: the start and the length in milliseconds, and the
+    /// daemon.
     pub(super) cuts: Vec<(u64, u64, usize)>,
-    /// Which daemon does not reach the store, from when on and for how long, so that its entry lapses.
-    pub(super) dark: Vec<(u64, u64, usize)>,
-    /// When which daemon reads which list of members; all start with the whole list.
-    pub(super) lists: Vec<(u64, usize, Vec<usize>)>,
-    /// When which daemon, back from a cut, says to those that it knows that it is there.
-    pub(super) returns: Vec<(u64, usize)>,
-    /// When daemons start again, and which.
+    /// The daemons that cannot reach the store, so that their entries expire: the start and the length in
+    /// milliseconds, and the daemon.
+    pub(super) store_outages: Vec<(u64, u64, usize)>,
+    /// The member lists that daemons read: the time in milliseconds, the daemon and its new list. All start
+    /// with the whole list.
+    pub(super) member_lists: Vec<(u64, usize, Vec<usize>)>,
+    /// When a daemon that was isolated announces its return to the daemons that it knows: the time in
+    /// milliseconds, and the daemon.
+    pub(super) announcements: Vec<(u64, usize)>,
+    /// The daemons that start again, with the time in milliseconds.
     pub(super) restarts: Vec<(u64, Vec<usize>)>,
 }
 
 impl Flood {
-    pub(super) fn new(daemons: usize, cost: f64, gap: usize) -> Self {
+    pub(super) fn new(daemons: usize, cost: f64, interval_ms: usize) -> Self {
         Self {
             account: account(24_000.0, 88_000.0),
             params: params(),
             daemons,
             cost,
-            gap,
+            interval_ms,
             cuts: Vec::new(),
-            dark: Vec::new(),
-            lists: Vec::new(),
-            returns: Vec::new(),
+            store_outages: Vec::new(),
+            member_lists: Vec::new(),
+            announcements: Vec::new(),
             restarts: Vec::new(),
         }
     }
@@ -92,17 +96,17 @@
         self.cuts.iter().any(|span| is_within(span, number, ms))
     }
 
-    fn is_dark(&self, number: usize, ms: u64) -> bool {
-        self.dark.iter().any(|span| is_within(span, number, ms))
+    fn is_store_unreachable(&self, number: usize, ms: u64) -> bool {
+        self.store_outages.iter().any(|span| is_within(span, number, ms))
     }
 
-    /// The most that may be used in a window.
+    /// Returns the most that may be used in a window.
     pub(super) fn limit(&self) -> f64 {
         let whole = self.account.rate * self.params.window_s + self.account.burst;
         whole * (1.0 + self.params.overshoot) + self.params.slack
     }
 
-    /// Returns when which cost was admitted over 40 seconds.
+    /// Simulates 40 seconds and returns the time and the cost of each admitted request.
     pub(super) fn play(&self) -> Vec<(u64, f64)> {
         let name = &self.account.name;
         let accounts = std::slice::from_ref(&self.account);
@@ -128,12 +132,12 @@
                     incarnations[*number] += 1;
                 }
             }
-            for (_, who, list) in self.lists.iter().filter(|(at, ..)| *at == ms) {
+            for (_, who, list) in self.member_lists.iter().filter(|(at, ..)| *at == ms) {
                 let list: Vec<_> = list.iter().copied().map(peer).collect();
                 let hubs = meshes[*who].hubs().to_vec();
                 meshes[*who].replace(now, &list);
                 let mark = meshes[*who].told_hub_mark(now);
-                for hub in hubs.into_iter().map(number_of) {
+                for hub in hubs.into_iter().map(index_of) {
                     meshes[hub].note_hub_mark(address(*who), mark);
                 }
                 quotas[*who].note_hubs(now, &meshes[*who], accounts);
@@ -141,41 +145,45 @@
             let reaches = |from: usize, to: usize| {
                 from == to || !(self.is_cut(from, ms) || self.is_cut(to, ms))
             };
-            for (_, from) in self.returns.iter().filter(|(at, _)| *at == ms) {
-                meshes[*from].note_entry(now + ENTRY);
+            for (_, from) in self.announcements.iter().filter(|(at, _)| *at == ms) {
+                meshes[*from].note_entry(now + ENTRY_TTL);
                 let digest = Digest {
                     incarnation: incarnations[*from],
                     number: ms,
                     starting: true,
                     ..Digest::default()
                 };
-                for to in meshes[*from].others().into_iter().map(number_of) {
+                for to in meshes[*from].others().into_iter().map(index_of) {
                     if reaches(*from, to) {
                         meshes[to].note(now, address(*from), &digest);
                         quotas[to].note_hubs(now, &meshes[to], accounts);
                     }
                 }
             }
-            if ms % 1_500 == 0 && !self.dark.is_empty() {
-                for number in (0..self.daemons).filter(|number| !self.is_dark(*number, ms)) {
-                    meshes[number].note_entry(now + ENTRY);
+            if ms % 1_500 == 0 && !self.store_outages.is_empty() {
+                for number in
+                    (0..self.daemons).filter(|number| !self.is_store_unreachable(*number, ms))
+                {
+                    meshes[number].note_entry(now + ENTRY_TTL);
                 }
             }
-            // Each asks about the store, and the hubs tell each other.
+            // Each daemon asks the readers whether the store answers. The hubs exchange digests further
+            // below.
             if ms % 450 == 0 {
                 for from in 0..self.daemons {
-                    let is_dark = self.is_dark(from, ms);
-                    meshes[from].note_answer(!is_dark);
-                    let readers = meshes[from].readers_to_ask(now).into_iter().map(number_of);
+                    let is_store_unreachable = self.is_store_unreachable(from, ms);
+                    meshes[from].note_answer(!is_store_unreachable);
+                    let readers = meshes[from].readers_to_ask(now).into_iter().map(index_of);
                     for (place, reader) in readers.enumerate() {
                         if !reaches(from, reader) {
                             continue;
                         }
                         let mark = if place == 0 { meshes[from].told_hub_mark(now) } else { 0 };
                         meshes[reader].note_client(now, address(from), mark);
-                        let answered = !self.is_dark(reader, ms);
+                        let answered = !self.is_store_unreachable(reader, ms);
                         meshes[from].note_member_answer(now, address(reader), answered);
-                        // One that knows nothing new of the store is no use.
+                        // A reader without recent knowledge of the store is no help, so the next one is
+                        // asked.
                         if answered {
                             break;
                         }
@@ -193,22 +201,22 @@
                         spend: quotas[from].used(ms % 1_000 == 0),
                         ..Digest::default()
                     };
-                    for to in meshes[from].hub_peers(now).into_iter().map(number_of) {
+                    for to in meshes[from].hub_peers(now).into_iter().map(index_of) {
                         if !reaches(from, to) {
                             continue;
                         }
-                        let news = meshes[to].note(now, address(from), &digest);
-                        let news = news.unwrap_or_default();
-                        for spend in &news.spent {
+                        let update = meshes[to].note(now, address(from), &digest);
+                        let update = update.unwrap_or_default();
+                        for spend in &update.spent {
                             quotas[to].note_others(now, spend);
                         }
-                        for spend in news.levels.iter().filter(|_| ms >= 5_000) {
+                        for spend in update.levels.iter().filter(|_| ms >= 5_000) {
                             quotas[to].adopt(now, &spend.account, spend.level);
                         }
                     }
                 }
             }
-            let ticks = self.gap / 5;
+            let ticks = self.interval_ms / 5;
             let is_due = |from: &usize| {
                 (ms as usize / 5 + from * ticks / self.daemons).is_multiple_of(ticks)
             };
@@ -218,7 +226,7 @@
                     let knows = *keeper == from || mesh.is_member(address(from));
                     reaches(from, *keeper) && knows && mesh.keeps(name) && mesh.is_listed(now)
                 };
-                let keepers = meshes[from].keepers(name).into_iter().map(number_of);
+                let keepers = meshes[from].keepers(name).into_iter().map(index_of);
                 let (asked, part) = match keepers.into_iter().find(answers) {
                     Some(keeper) => (keeper, meshes[keeper].quota_part(now, name)),
                     None if meshes[from].is_listed(now) => (from, meshes[from].equal_part()),
@@ -233,15 +241,16 @@
     }
 }
 
-/// Says whether a span from a moment on, of some length, at one daemon holds a moment at a daemon.
+/// Returns whether a span at a daemon contains a moment at the daemon `number`. The span has a start, a
+/// length and a daemon.
 pub(super) fn is_within((from, length, who): &(u64, u64, usize), number: usize, ms: u64) -> bool {
     *who == number && (*from..from + length).contains(&ms)
 }
 
-pub(super) fn number_of(address: SocketAddr) -> usize {
+pub(super) fn index_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => usize::from(address.ip().octets()[3]),
-        SocketAddr::V6(_) => unreachable!("all are of the fourth version"),
+        SocketAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
@@ -249,24 +258,24 @@
     uses.iter().map(|(_, cost)| cost).sum()
 }
 
-/// A flood of seven times what a large account may use, at daemons of which `dark` do not reach the store from second 1
-/// to 13.
+/// Creates a flood of seven times what a large account may use, at daemons of which `unreachable` cannot
+/// reach the store from second 1 to 13.
 ///
-/// Two of the others learn at `early` that these are not listed any more, the rest at `late`. Those that are back say so to
-/// all.
-pub(super) fn flood_over_lists(dark: [usize; 2], (early, late): (u64, u64)) -> Flood {
-    let others: Vec<_> = (0..7).filter(|number| !dark.contains(number)).collect();
-    let falls = others.iter().enumerate().map(|(place, number)| {
+/// Two of the other daemons learn at `early` that these are no longer listed, the rest at `late`. Daemons
+/// that are back announce their return to all others.
+pub(super) fn flood_over_lists(unreachable: [usize; 2], (early, late): (u64, u64)) -> Flood {
+    let others: Vec<_> = (0..7).filter(|number| !unreachable.contains(number)).collect();
+    let removals = others.iter().enumerate().map(|(place, number)| {
         let at = if place < 2 { early } else { late };
         (at, *number, others.clone())
     });
-    let rises = others.iter().map(|number| (14_500, *number, (0..7).collect()));
+    let additions = others.iter().map(|number| (14_500, *number, (0..7).collect()));
     Flood {
         account: account(400_000.0, 377_000.0),
         params: QuotaParams { slack: 140_000.0, ..params() },
-        dark: dark.map(|number| (1_000, 12_000, number)).to_vec(),
-        lists: falls.chain(rises).collect(),
-        returns: dark.map(|number| (13_060, number)).to_vec(),
+        store_outages: unreachable.map(|number| (1_000, 12_000, number)).to_vec(),
+        member_lists: removals.chain(additions).collect(),
+        announcements: unreachable.map(|number| (13_060, number)).to_vec(),
         ..Flood::new(7, 9_000.0, 20)
     }
 }
--- a/crates/decide/tests/testsuite/gateway/pool.rs
+++ b/crates/decide/tests/testsuite/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Order and place at one service.
+//! The order and placement of the requests of one service.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 };
 
 #[test]
-fn requests_wait_when_all_slots_are_taken_and_the_urgent_go_first() {
+fn queued_requests_are_granted_slots_in_order_of_rank() {
     let mut pool = pool(&["one"]);
     let first = granted(pool.arrive(at(0), demand(0, 0)));
     let second = granted(pool.arrive(at(0), demand(0, 0)));
-    let lesser = queued(pool.arrive(at(1), demand(1, 2)));
+    let low_rank = queued(pool.arrive(at(1), demand(1, 2)));
     let urgent = queued(pool.arrive(at(2), demand(2, 0)));
     assert_eq!(end(&mut pool, 50, &first), [urgent]);
-    // The last of several ranks leaves no slot free here: four in a hundred of two is none.
-    assert_eq!(end(&mut pool, 60, &second), [lesser]);
+    // The last of several ranks leaves no slot free here: four hundredths of two slots are rounded to none.
+    assert_eq!(end(&mut pool, 60, &second), [low_rank]);
 }
 
 #[test]
-fn a_slot_that_a_peer_uses_is_not_used_again() {
+fn slots_used_by_a_peer_are_not_granted() {
     let mut pool = pool(&["one"]);
     pool.note_peer(at(0), peer(2), &report(1, &[("one", 2)], 0));
     let ticket = queued(pool.arrive(at(1), demand(1, 0)));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_peer_that_is_forgotten_holds_no_slots() {
+fn a_forgotten_peer_holds_no_slots() {
     let mut pool = pool(&["one"]);
     pool.note_peer(at(0), peer(2), &report(1, &[("one", 2)], 0));
     pool.forget_peer(peer(2));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_report_that_comes_late_changes_nothing() {
+fn an_outdated_load_report_is_ignored() {
     let mut pool = pool(&["one"]);
     pool.note_peer(at(0), peer(2), &report(2, &[("one", 2)], 0));
     pool.note_peer(at(1), peer(2), &report(1, &[], 0));
@@ -53,17 +53,18 @@
 }
 
 #[test]
-fn a_place_given_to_a_peer_is_taken_until_its_report_names_it() {
+fn a_slot_granted_to_a_peer_is_reserved_until_its_report_confirms_it() {
     let mut pool = pool(&["one"]);
     for given in 1..=2 {
         let grant = granted(pool.arrive(at(0), demand(0, 2)));
         pool.promise(at(0), &grant, peer(2), given);
     }
     let urgent = queued(pool.arrive(at(1), demand(1, 0)));
-    // A report that was made before the places came.
+    // The peer sent this report before the granted slots reached it.
     pool.note_peer(at(5), peer(2), &report(1, &[], 0));
     assert!(grants(&mut pool, 5).is_empty());
-    // Both have come and one request has ended since: one of two slots is taken, not two or none.
+    // Both slots have reached the peer and one request has ended since: one of two slots is taken, not two
+    // or none.
     pool.note_peer(at(20), peer(2), &report(2, &[("one", 1)], 2));
     let given = grants(&mut pool, 20);
     assert_eq!(given.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [urgent]);
@@ -72,14 +73,14 @@
 }
 
 #[test]
-fn a_place_whose_peer_is_never_heard_of_again_is_free_after_a_while() {
+fn the_reservation_of_a_silent_peer_expires() {
     let mut pool = pool(&["one"]);
     for given in 1..=2 {
         let grant = granted(pool.arrive(at(0), demand(0, 2)));
         pool.promise(at(0), &grant, peer(2), given);
     }
     queued(pool.arrive(at(1), demand(1, 2)));
-    // All report their work twice a second.
+    // All daemons report their load twice a second, so the reservation has not expired yet.
     pool.expire_peers(at(600));
     assert!(grants(&mut pool, 600).is_empty());
     pool.expire_peers(at(750));
@@ -87,18 +88,18 @@
 }
 
 #[test]
-fn a_promised_prompt_counts_until_it_is_reported() {
+fn the_prompt_of_a_reservation_counts_until_it_is_reported() {
     let mut pool = pool(&["one", "two"]);
     let mut long = demand(0, 0);
     long.prompt = 20_000;
     let first = granted(pool.arrive(at(0), long));
     pool.promise(at(0), &first, peer(2), 1);
     let second = granted(pool.arrive(at(1), demand(1, 0)));
-    assert_ne!(second.endpoint, first.endpoint, "the prompt of the first is read there");
+    assert_ne!(second.endpoint, first.endpoint, "the endpoint still reads the first prompt");
 }
 
 #[test]
-fn a_place_that_was_given_is_taken_only_where_the_endpoint_takes_work() {
+fn a_granted_slot_is_taken_only_at_a_listed_endpoint_that_is_not_draining() {
     let mut pool = pool(&["one"]);
     assert!(pool.take(at(0), &"one".into(), &demand(0, 0), 300).is_some());
     assert!(pool.take(at(0), &"gone".into(), &demand(0, 0), 300).is_none());
@@ -110,38 +111,39 @@
     assert!(grants(&mut pool, 2).is_empty());
 }
 
-/// A stream of one daemon shows all of them how slow an endpoint has become.
+/// The measurements of a stream at one daemon show all daemons how slow an endpoint has become.
 #[test]
-fn what_a_peer_has_learned_of_an_endpoint_is_believed() {
+fn measurements_of_a_peer_are_applied() {
     let mut pool = pool(&["one", "two"]);
     let slow = Learned { steps: 60, step_ms: 60.0, ..Learned::default() };
-    let mut told = report(1, &[("one", 1)], 0);
-    told.endpoints[0].learned = Some(slow);
-    pool.note_peer(at(0), peer(2), &told);
+    let mut load_report = report(1, &[("one", 1)], 0);
+    load_report.endpoints[0].learned = Some(slow);
+    pool.note_peer(at(0), peer(2), &load_report);
     let states = pool.states(at(1));
     assert!(states[0].step_ms > 55.0, "{states:?}");
     assert!(states[1].step_ms < 5.0, "{states:?}");
 }
 
-/// A daemon that is cut off alone is refused everywhere; the others go on.
+/// An isolated daemon is refused by all endpoints, but the others can still use them.
 #[test]
-fn an_endpoint_that_speaks_is_not_left_alone_since_one_peer_was_refused() {
+fn a_responsive_endpoint_is_not_paused_when_a_peer_is_refused() {
     let refused = Learned { refused: 1, ..Learned::default() };
-    let mut told = report(1, &[("one", 0)], 0);
-    told.endpoints[0].learned = Some(refused);
+    let mut load_report = report(1, &[("one", 0)], 0);
+    load_report.endpoints[0].learned = Some(refused);
     let mut alive = pool(&["one"]);
     let grant = granted(alive.arrive(at(0), demand(0, 0)));
     alive.first(at(10), &grant, grant.prompt);
-    alive.note_peer(at(20), peer(2), &told);
+    alive.note_peer(at(20), peer(2), &load_report);
     granted(alive.arrive(at(21), demand(21, 0)));
-    let mut unheard = pool(&["one"]);
-    unheard.note_peer(at(20), peer(2), &told);
-    queued(unheard.arrive(at(21), demand(21, 0)));
+    let mut without_response = pool(&["one"]);
+    without_response.note_peer(at(20), peer(2), &load_report);
+    queued(without_response.arrive(at(21), demand(21, 0)));
 }
 
-/// A peer's stream that goes on shows that the endpoint lives, whatever this daemon hears.
+/// A running stream of a peer shows that the endpoint is alive, even if this daemon receives nothing from
+/// it.
 #[test]
-fn an_endpoint_that_a_peer_hears_is_not_doubted() {
+fn an_endpoint_that_responds_to_a_peer_is_not_suspected() {
     let mut pool = pool(&["one"]);
     pool.note_peer(at(0), peer(2), &report(1, &[("one", 1)], 0));
     pool.note_peer(at(5_000), peer(2), &report(2, &[("one", 1)], 0));
@@ -149,7 +151,7 @@
 }
 
 #[test]
-fn an_endpoint_that_cannot_be_reached_is_left_alone_for_a_while() {
+fn an_unreachable_endpoint_is_paused() {
     let mut pool = pool(&["one", "two"]);
     let grant = granted(pool.arrive(at(0), demand(0, 0)));
     pool.end(at(1), &grant, grant.prompt, Outcome::Unreachable);
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn a_silent_endpoint_gets_only_what_may_be_repeated() {
+fn a_silent_endpoint_gets_no_unrepeatable_requests() {
     let mut pool = pool(&["one"]);
     granted(pool.arrive(at(0), demand(0, 0)));
     queued(pool.arrive(at(5_000), demand(5_000, 0)));
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn a_place_that_is_given_back_leaves_nothing() {
+fn an_unused_grant_leaves_no_load() {
     let mut pool = pool(&["one"]);
     let kept = granted(pool.arrive(at(0), demand(0, 0)));
     let unused = granted(pool.arrive(at(0), demand(0, 0)));
@@ -180,15 +182,15 @@
 }
 
 #[test]
-fn a_request_is_not_placed_where_it_was_before() {
+fn a_request_is_not_placed_at_an_endpoint_it_was_sent_to_before() {
     let mut pool = pool(&["one"]);
-    let mut again = demand(0, 0);
-    again.tried = vec!["one".into()];
-    queued(pool.arrive(at(0), again));
+    let mut retried = demand(0, 0);
+    retried.tried = vec!["one".into()];
+    queued(pool.arrive(at(0), retried));
 }
 
 #[test]
-fn an_answer_that_cannot_be_complete_in_time_gets_no_slot() {
+fn a_request_that_cannot_complete_in_time_gets_no_slot() {
     let mut pool = pool(&["one"]);
     let mut long = demand(0, 0);
     long.expected = 10_000.0;
@@ -197,7 +199,7 @@
 }
 
 #[test]
-fn who_would_wait_past_his_patience_is_refused_at_once_with_a_time_to_come_back() {
+fn a_request_that_would_wait_too_long_is_refused_with_a_retry_time() {
     let mut pool = pool(&["one"]);
     granted(pool.arrive(at(0), demand(0, 0)));
     granted(pool.arrive(at(0), demand(0, 0)));
@@ -213,7 +215,7 @@
 }
 
 #[test]
-fn a_caller_that_was_refused_before_is_not_refused_on_arrival() {
+fn a_returning_request_is_not_refused_on_arrival() {
     let mut pool = pool(&["one"]);
     for _ in 0..300 {
         pool.arrive(at(0), demand(0, 2));
@@ -223,9 +225,9 @@
     queued(pool.arrive(at(1), returning));
 }
 
-/// Nobody who waits gets a place, since more urgent requests take all.
+/// No waiting request gets a slot, since more urgent requests take them all.
 #[test]
-fn who_was_refused_before_waits_while_there_is_hope_and_is_told_when_there_is_none() {
+fn a_returning_request_is_refused_once_it_can_no_longer_be_served() {
     let mut pool = pool(&["one"]);
     granted(pool.arrive(at(0), demand(0, 0)));
     granted(pool.arrive(at(0), demand(0, 0)));
@@ -233,18 +235,18 @@
     for ms in 0..=20 {
         queued(pool.arrive(at(ms), returning(ms)));
     }
-    assert!(pool.settle(at(600)).is_empty(), "nothing is known of how the late are served");
+    assert!(pool.settle(at(600)).is_empty(), "no grant rate of late requests is known yet");
     let next = queued(pool.arrive(at(600), returning(600)));
     let refused: Vec<_> = pool.settle(at(1_500)).into_iter().map(|(ticket, _)| ticket).collect();
     assert_eq!(refused, [next]);
 }
 
-/// On a busy slow engine two of three steps also read a part of somebody's prompt.
+/// On a busy slow engine, two of three steps also read a part of another request's prompt.
 #[test]
-fn prompts_that_are_read_beside_a_stream_do_not_make_its_endpoint_seem_slower() {
+fn reading_prompts_during_a_stream_does_not_raise_the_predicted_prompt_time() {
     let mut pool = pool(&["one"]);
     let running = granted(pool.arrive(at(0), demand(0, 0)));
-    // Events of 4 tokens, at 8 ms a token; with a prompt beside, at 60.
+    // Events of 4 tokens, at 8 ms a token; at 60 ms if a prompt is read in the same step.
     for number in 0..120 {
         let step_ms = if number % 3 == 0 { 8.0 } else { 60.0 };
         pool.event(at(10 + number), &running, step_ms * 4.0 / 1_000.0);
@@ -253,22 +255,25 @@
     let mut long = demand(150, 0);
     long.prompt = 4_000;
     let grant = granted(pool.arrive(at(150), long));
-    // 4,000 tokens at twice the usual 1/38 ms, and what a first event took beside its prompt.
+    // 4,000 tokens at twice the usual 1/38 ms, plus the time to the first event that does not depend on the
+    // prompt.
     assert!((300..420).contains(&grant.first_ms), "{}", grant.first_ms);
 }
 
-/// A burst on a service of which one endpoint fails whatever it is sent, and so always has free slots.
+/// Guards against a burst on a service with one endpoint that fails every request and so always has free
+/// slots.
 #[test]
-fn an_endpoint_that_fails_far_more_than_the_others_gets_only_what_may_be_repeated() {
+fn a_failing_endpoint_gets_only_repeatable_requests() {
     let mut pool = pool(&["one", "two", "three"]);
     let failed = Learned { failed: 12, ..Learned::default() };
-    let mut told = report(1, &[("one", 0)], 0);
-    told.endpoints[0].learned = Some(failed);
-    pool.note_peer(at(0), peer(2), &told);
+    let mut load_report = report(1, &[("one", 0)], 0);
+    load_report.endpoints[0].learned = Some(failed);
+    pool.note_peer(at(0), peer(2), &load_report);
     for _ in 0..4 {
         assert_ne!(granted(pool.arrive(at(1), demand(1, 0))).endpoint.as_str(), "one");
     }
-    // One that may be repeated shows whether it still fails; what waits in front of it would not.
+    // A repeatable request is sent to the endpoint to find out whether it still fails. A request that may
+    // not be repeated waits instead, and would not show it.
     let mut repeatable = demand(1, 0);
     repeatable.repeatable = true;
     let mut alone = pool.clone();
@@ -278,21 +283,21 @@
     queued(alone.arrive(at(1), repeatable));
 }
 
-/// With all endpoints failing alike there is none to be spared for.
+/// If all endpoints fail alike, no endpoint is better than another.
 #[test]
-fn endpoints_that_all_fail_alike_are_used_alike() {
+fn endpoints_that_all_fail_alike_are_all_used() {
     let mut pool = pool(&["one", "two"]);
     let failed = Learned { failed: 12, ..Learned::default() };
-    let mut told = report(1, &[("one", 0), ("two", 0)], 0);
-    told.endpoints[0].learned = Some(failed);
-    told.endpoints[1].learned = Some(failed);
-    pool.note_peer(at(0), peer(2), &told);
+    let mut load_report = report(1, &[("one", 0), ("two", 0)], 0);
+    load_report.endpoints[0].learned = Some(failed);
+    load_report.endpoints[1].learned = Some(failed);
+    pool.note_peer(at(0), peer(2), &load_report);
     for _ in 0..4 {
         granted(pool.arrive(at(1), demand(1, 0)));
     }
 }
 
-/// What would begin after its caller has left holds a slot for nothing.
+/// A request that begins after its caller has left wastes its slot.
 #[test]
 fn a_request_that_cannot_begin_before_its_caller_leaves_gets_no_slot() {
     let mut pool = pool(&["one"]);
@@ -303,9 +308,10 @@
     granted(super::support::pool(&["one"]).arrive(at(0), demand(0, 0)));
 }
 
-/// Thirty long prompts wait for the one fast endpoint, which is full, while slow ones have free slots.
+/// 90 long prompts wait for the only fast endpoint, whose slots are taken, while the slow one has free
+/// slots.
 #[test]
-fn requests_that_wait_for_a_fast_endpoint_do_not_keep_others_from_the_rest() {
+fn requests_that_wait_for_a_fast_endpoint_do_not_block_slow_endpoints() {
     let mut pool = pool(&["fast", "slow"]);
     for (name, step_ms) in [("fast", 2.8), ("slow", 16.0)] {
         for ms in 0..100 {
@@ -320,22 +326,22 @@
     for _ in 0..90 {
         queued(pool.arrive(at(100), Demand { leaves: at(60_000), ..long.clone() }));
     }
-    // Nor is it refused for them, or put behind them.
-    let hasty = Demand { leaves: at(1_600), ..demand(100, 2) };
-    let placed = granted(pool.arrive(at(100), hasty.clone()));
-    assert_eq!(placed.endpoint.as_str(), "slow");
-    granted(pool.arrive(at(100), hasty.clone()));
-    let returning = Demand { returning: true, ..hasty };
-    let lesser = queued(pool.arrive(at(100), returning));
+    // The request is neither refused because of the waiting ones nor queued behind them.
+    let short = Demand { leaves: at(1_600), ..demand(100, 2) };
+    let slow_grant = granted(pool.arrive(at(100), short.clone()));
+    assert_eq!(slow_grant.endpoint.as_str(), "slow");
+    granted(pool.arrive(at(100), short.clone()));
+    let returning = Demand { returning: true, ..short };
+    let low_rank = queued(pool.arrive(at(100), returning));
     assert!(grants(&mut pool, 100).is_empty());
-    pool.end(at(110), &placed, 0, Outcome::Served);
+    pool.end(at(110), &slow_grant, 0, Outcome::Served);
     let next: Vec<_> = grants(&mut pool, 110).into_iter().map(|(ticket, _)| ticket).collect();
-    assert_eq!(next, [lesser]);
+    assert_eq!(next, [low_rank]);
 }
 
-/// Under lasting overload there is always a shorter answer that has just been asked for.
+/// Under lasting overload there is always a newer, shorter request.
 #[test]
-fn a_long_answer_that_has_waited_for_a_while_goes_before_a_short_one_that_has_just_come() {
+fn a_long_answer_that_has_waited_goes_before_a_new_short_one() {
     let mut pool = pool(&["one"]);
     let first = granted(pool.arrive(at(0), demand(0, 0)));
     granted(pool.arrive(at(0), demand(0, 0)));
@@ -349,21 +355,21 @@
     assert_eq!(end(&mut pool, 500, &first), [long]);
 }
 
-/// The report that would have told of the end of its work was lost, and the daemon has had none since.
+/// The report about the end of the peer's requests was lost, and the peer has had no requests since.
 #[test]
-fn work_that_a_peer_does_not_repeat_is_forgotten() {
+fn load_that_a_peer_does_not_repeat_expires() {
     let mut pool = pool(&["one"]);
     pool.note_peer(at(0), peer(2), &report(1, &[("one", 2)], 0));
     queued(pool.arrive(at(1), demand(1, 0)));
     pool.expire_peers(at(1_500));
-    assert!(grants(&mut pool, 1_500).is_empty(), "two reports may be lost");
+    assert!(grants(&mut pool, 1_500).is_empty(), "two reports in a row may be lost");
     pool.expire_peers(at(1_700));
     assert_eq!(grants(&mut pool, 1_700).len(), 1);
 }
 
-/// An endpoint crashes and starts again under its name while it has work.
+/// An endpoint crashes and starts again under the same name while it has requests.
 #[test]
-fn what_belonged_to_an_earlier_start_of_an_endpoint_is_forgotten() {
+fn state_of_an_earlier_start_of_an_endpoint_is_dropped() {
     let mut pool = pool(&["one"]);
     let before =
         [granted(pool.arrive(at(0), demand(0, 0))), granted(pool.arrive(at(0), demand(0, 0)))];
@@ -373,19 +379,19 @@
     let after = grants(&mut pool, 30);
     assert_eq!(after.len(), 1, "two free slots for one request");
     assert_eq!(after[0].0, waiting);
-    // What becomes of the work of the earlier start neither frees a slot nor speaks against the new one.
+    // The ends of requests of the earlier start neither free a slot nor count as failures of the new start.
     for grant in &before {
         pool.end(at(40), grant, grant.prompt, Outcome::Unreachable);
     }
     assert_eq!(pool.states(at(50))[0].own, 1);
     granted(pool.arrive(at(50), demand(50, 0)));
     queued(pool.arrive(at(50), demand(50, 0)));
-    // A late report of another daemon's work at the earlier start.
+    // A late report of another daemon's load at the earlier start.
     pool.note_peer(at(60), peer(2), &report(2, &[("one", 2)], 0));
     assert_eq!(pool.states(at(60))[0].others, 0);
 }
 
-/// Short requests of a plain service at more than it can do: its slots are not left free for the way there and back.
+/// Guards against idle slots of a plain service under overload: a slot would stay unused for a round trip.
 #[test]
 fn one_request_may_wait_at_a_full_plain_endpoint_but_none_at_an_engine() {
     let entry = RosterEntry { slots: 4, ..entry("one") };
@@ -398,7 +404,7 @@
         }
         queued(pool.arrive(at(0), plain.clone()));
     }
-    // Off by a setting.
+    // A setting turns this off.
     let params = PoolParams { queue_slots: u32::MAX, ..PoolParams::default() };
     let mut pool = Pool::new(params, 0);
     pool.list(at(0), &entry);
--- a/crates/decide/tests/testsuite/gateway/support.rs
+++ b/crates/decide/tests/testsuite/gateway/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the gateway's decisions share.
+//! Helpers shared by the tests of the gateway's decisions.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,12 +21,12 @@
     }
 }
 
-/// A pool with endpoints of two slots each.
+/// Creates a pool with endpoints of two slots each.
 pub(super) fn pool(names: &[&str]) -> Pool {
     pool_with(PoolParams::default(), names)
 }
 
-/// The same with other settings.
+/// Creates a pool with other settings and endpoints of two slots each.
 pub(super) fn pool_with(params: PoolParams, names: &[&str]) -> Pool {
     let mut pool = Pool::new(params, 4);
     for name in names {
@@ -43,7 +43,7 @@
     Timestamp::from_millis(ms)
 }
 
-/// A request of `rank` at `ms` with a short prompt, which waits for three seconds.
+/// Creates a request of `rank` at `ms` with a short prompt, which waits for up to three seconds.
 pub(super) fn demand(ms: u64, rank: u8) -> Demand {
     Demand {
         rank,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A grant at an endpoint, for what is only told of it.
+/// Creates a grant at an endpoint that was not granted by a pool, to report measurements with.
 pub(super) fn told_of(name: &str) -> Grant {
     Grant {
         endpoint: name.into(),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Ends a request and returns whom its slot goes to.
+/// Ends a request and returns the waiting requests that are granted slots now.
 pub(super) fn end(pool: &mut Pool, ms: u64, grant: &Grant) -> Vec<Ticket> {
     pool.end(at(ms), grant, grant.prompt, Outcome::Served);
     grants(pool, ms).into_iter().map(|(ticket, _)| ticket).collect()
@@ -102,7 +102,7 @@
     "assistant".into()
 }
 
-/// Returns the waiting requests that are granted places now.
+/// Returns the waiting requests that are granted slots now.
 pub(super) fn grants(pool: &mut Pool, ms: u64) -> Vec<(Ticket, Grant)> {
     let granted = |(ticket, settled): (Ticket, Settled)| match settled {
         Settled::Granted(grant) => Some((ticket, grant)),
@@ -115,7 +115,8 @@
     SocketAddr::from(([10, 0, 0, number], 7_600))
 }
 
-/// A peer's `number`-th report: `running` requests at each endpoint, the last place that it was given.
+/// Creates the report with number `number` of a peer, with `running` requests at each endpoint. `placed` is
+/// the number of the last slot that the peer was granted.
 pub(super) fn report(number: u64, running: &[(&str, u16)], placed: u64) -> LoadReport {
     let load = |(name, running): &(&str, u16)| EndpointLoad {
         endpoint: (*name).into(),
