--- a/crates/decide/src/gateway/pool/endpoint.rs
+++ b/crates/decide/src/gateway/pool/endpoint.rs
@@ -23,13 +23,13 @@
     /// The number of requests that it runs at once; at least 1.
     pub(super) slots: u32,
     pub(super) draining: bool,
-    /// What this daemon has sent.
+    /// The load that this daemon has sent.
     pub(super) own: Load,
     /// The value of `own` when it was last reported to the other daemons.
     reported: Load,
-    /// What was granted to other daemons and is not in their reports yet.
+    /// The load granted to other daemons that is not in their reports yet.
     pub(super) reserved: Load,
-    /// What other daemons have reported: the sum of their latest reports.
+    /// The load that other daemons have reported: the sum of their latest reports.
     pub(super) others: Load,
     /// The parts of prompts that the endpoint is assumed to have cached.
     prefix_cache: prefix_cache::PrefixCache,
@@ -64,8 +64,8 @@
 /// The number of events over which the step time is averaged: about two streams.
 const STEP_WINDOW: f64 = 60.0;
 
-/// For this long after its last response to any daemon, an endpoint is not paused when another daemon's
-/// connection is refused.
+/// For this long after its last response to any daemon, an endpoint is not paused when another daemon was
+/// rejected or could not connect.
 const RESPONSIVE_PERIOD: time::Duration = time::Duration::from_millis(300);
 
 /// The number of answers over which the failure rate is averaged.
@@ -79,7 +79,7 @@
         now: Timestamp,
         entry: &gateway::RosterEntry,
         estimates: initial_estimates::InitialEstimates,
-        kept_tokens: u32,
+        cache_tokens: u32,
     ) -> Self {
         Self {
             address: entry.address,
@@ -92,7 +92,7 @@
             reported: Load::default(),
             reserved: Load::default(),
             others: Load::default(),
-            prefix_cache: prefix_cache::PrefixCache::new(kept_tokens),
+            prefix_cache: prefix_cache::PrefixCache::new(cache_tokens),
             step_time: moving_average::MovingAverage::new(estimates.step_ms, STEP_WINDOW),
             base_step: moving_average::LowerQuartile(estimates.step_ms),
             first_event: linear_regression::LinearRegression::new(
@@ -151,7 +151,7 @@
         self.last_response = Some(now);
     }
 
-    /// Applies what another daemon has measured.
+    /// Applies the measurements of another daemon.
     pub(super) fn apply_report(
         &mut self,
         now: Timestamp,
--- a/crates/decide/src/gateway/pool/params.rs
+++ b/crates/decide/src/gateway/pool/params.rs
@@ -60,7 +60,7 @@
     ///
     /// Long prompts delay the other streams by up to about 300 ms on slow engines.
     pub silence: time::Duration,
-    /// How long an endpoint gets no requests after a refused or failed connection; 400 ms, doubled each
+    /// How long an endpoint gets no requests after a rejection or a failed connection; 400 ms, doubled each
     /// time.
     pub pause: time::Duration,
     /// The longest such pause; 3 s.
--- a/crates/decide/src/gateway/pool/placement.rs
+++ b/crates/decide/src/gateway/pool/placement.rs
@@ -140,8 +140,9 @@
             .map_or(0, |received_at| now.since(received_at).as_millis());
         let endpoint = self.endpoints.get_mut(&name)?;
         let load = endpoint.load();
-        let read = endpoint.prompt_ms() * f64::from(load.prefill.saturating_add(uncached));
-        let first = if demand.gap.is_zero() { read } else { read + endpoint.overhead_ms() };
+        let read_ms = endpoint.prompt_ms() * f64::from(load.prefill.saturating_add(uncached));
+        let first_ms =
+            if demand.gap.is_zero() { read_ms } else { read_ms + endpoint.overhead_ms() };
         endpoint.add_request(now, demand, uncached, load);
         Some(Grant {
             endpoint: name,
@@ -150,7 +151,7 @@
             address: endpoint.address,
             prompt: uncached,
             at: now,
-            first_ms: first as u32,
+            first_ms: first_ms as u32,
             beside: load.running,
             ahead: load.prefill,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
@@ -196,8 +197,8 @@
         demand: &Demand,
         endpoint: &endpoint::Endpoint,
     ) -> bool {
-        let left = demand.deadline.since(now).as_secs_f64() * 1_000.0;
-        demand.expected * endpoint.step_ms() <= left * self.params.feasible_part
+        let left_ms = demand.deadline.since(now).as_secs_f64() * 1_000.0;
+        demand.expected * endpoint.step_ms() <= left_ms * self.params.feasible_part
     }
 
     /// Returns whether the first event is expected before the caller leaves.
@@ -212,9 +213,9 @@
         load: load::Load,
     ) -> bool {
         let prompt = f64::from(load.prefill.saturating_add(uncached));
-        let read = prompt * endpoint.prompt_ms();
+        let read_ms = prompt * endpoint.prompt_ms();
         demand.gap.is_zero()
-            || read + endpoint.overhead_ms() <= demand.patience(now).as_secs_f64() * 1_000.0
+            || read_ms + endpoint.overhead_ms() <= demand.patience(now).as_secs_f64() * 1_000.0
     }
 
     /// Returns whether a request may go to an endpoint at all if a slot is free.
@@ -258,9 +259,9 @@
         demand: &Demand,
         endpoint: &endpoint::Endpoint,
     ) -> f64 {
-        let left = demand.deadline.since(now).as_secs_f64() * 1_000.0;
-        let whole = demand.expected * endpoint.step_ms();
-        if whole <= 0.0 { 0.0 } else { 1.0 / (1.0 + (left / whole).powf(LENGTH_TAIL)) }
+        let left_ms = demand.deadline.since(now).as_secs_f64() * 1_000.0;
+        let answer_ms = demand.expected * endpoint.step_ms();
+        if answer_ms <= 0.0 { 0.0 } else { 1.0 / (1.0 + (left_ms / answer_ms).powf(LENGTH_TAIL)) }
     }
 
     /// Returns the cost of a placement, in milliseconds of delay.
@@ -276,23 +277,23 @@
         let prompt_ms = endpoint.prompt_ms();
         let running = f64::from(load.running);
         let ahead = f64::from(load.prefill);
-        let own = f64::from(uncached) * prompt_ms;
-        let first = ahead * prompt_ms + own;
-        let evicted = f64::from(endpoint.evicted_tokens(now, uncached)) * prompt_ms;
-        let beside = running * own * self.params.beside_weight;
-        let pause = (first - self.pause_limit(demand)).max(0.0) * running;
-        let fast =
+        let own_read_ms = f64::from(uncached) * prompt_ms;
+        let read_ms = ahead * prompt_ms + own_read_ms;
+        let reread_ms = f64::from(endpoint.evicted_tokens(now, uncached)) * prompt_ms;
+        let stream_delay = running * own_read_ms * self.params.beside_weight;
+        let pause = (read_ms - self.pause_limit(demand)).max(0.0) * running;
+        let speed =
             (averages.base_step_ms / endpoint.base_step_ms() - 1.0).max(0.0) * self.params.fast_ms;
         let zone = if endpoint.zone == demand.zone { 0.0 } else { self.params.zone_ms };
         let failures = endpoint.failure_rate() - averages.failure_rate - TOLERATED_FAILURES;
         let failures = failures.max(0.0) * self.params.failure_ms;
         let suspect =
             if endpoint.is_suspect(now, load, &self.params) { SUSPECT_COST_MS } else { 0.0 };
-        first * self.params.first_weight
-            + beside
-            + evicted * self.params.displaced_weight
+        read_ms * self.params.first_weight
+            + stream_delay
+            + reread_ms * self.params.displaced_weight
             + pause * self.params.pause_weight
-            + fast
+            + speed
             + running * RUNNING_COST_MS
             + zone
             + failures
--- a/crates/decide/tests/testsuite/gateway/engines.rs
+++ b/crates/decide/tests/testsuite/gateway/engines.rs
@@ -2,7 +2,7 @@
 
 use trefoildyke_decide::gateway::{Demand, Grant, Outcome, Pool};
 
-use super::support::{at, demand, granted, grants, pool, queued, told_of};
+use super::support::{at, demand, grant_at, granted, grants, pool, queued};
 
 /// Records `count` streams of an endpoint's engine.
 fn record_streams(
@@ -14,7 +14,7 @@
 ) {
     for number in 0..count {
         let prompt = 500 + number % 5 * 1_500;
-        let grant = Grant { prompt, ..told_of(name) };
+        let grant = Grant { prompt, ..grant_at(name) };
         for _ in 0..6 {
             pool.event(at(0), &grant, step_ms * 4.0 / 1_000.0);
         }
@@ -69,7 +69,7 @@
     let earlier =
         queued(pool.arrive(at(2_100), Demand { objective: at(2_350), ..demand(2_100, 0) }));
     queued(pool.arrive(at(2_110), demand(2_110, 0)));
-    let grant = Grant { start: 0, ..told_of("fast") };
+    let grant = Grant { start: 0, ..grant_at("fast") };
     pool.end(at(2_150), &grant, 0, Outcome::Served);
     assert_eq!(grants(&mut pool, 2_150)[0].0, earlier);
 }
--- a/crates/decide/tests/testsuite/gateway/loads.rs
+++ b/crates/decide/tests/testsuite/gateway/loads.rs
@@ -11,7 +11,7 @@
 };
 use trefoildyke_types::time::Timestamp;
 
-use super::support::{at, told_of};
+use super::support::{at, grant_at};
 
 /// The step time of each endpoint, as a multiple of the usual 4.7 ms.
 const SPEEDS: [f64; 6] = [0.6, 1.7, 1.7, 0.6, 1.7, 1.7];
@@ -67,7 +67,7 @@
             pool.list(at(0), &entry);
             // The measurements of a few streams.
             for _ in 0..60 {
-                pool.event(at(0), &told_of(entry.endpoint.as_str()), 4.7 * speed * 4.0 / 1_000.0);
+                pool.event(at(0), &grant_at(entry.endpoint.as_str()), 4.7 * speed * 4.0 / 1_000.0);
             }
         }
         Self {
--- a/crates/decide/tests/testsuite/gateway/pool.rs
+++ b/crates/decide/tests/testsuite/gateway/pool.rs
@@ -7,7 +7,7 @@
 };
 
 use super::support::{
-    at, demand, end, entry, granted, grants, peer, pool, queued, report, told_of,
+    at, demand, end, entry, grant_at, granted, grants, peer, pool, queued, report,
 };
 
 #[test]
@@ -315,7 +315,7 @@
     let mut pool = pool(&["fast", "slow"]);
     for (name, step_ms) in [("fast", 2.8), ("slow", 16.0)] {
         for ms in 0..100 {
-            pool.event(at(ms), &told_of(name), step_ms * 4.0 / 1_000.0);
+            pool.event(at(ms), &grant_at(name), step_ms * 4.0 / 1_000.0);
         }
     }
     let mut long = demand(100, 0);
--- a/crates/decide/tests/testsuite/gateway/rate_limits.rs
+++ b/crates/decide/tests/testsuite/gateway/rate_limits.rs
@@ -4,7 +4,7 @@
     Grant, Outcome, Pool, RateLimitChange, RateLimitReport, Verdict,
 };
 
-use super::support::{at, demand, granted, grants, peer, pool, report, told_of};
+use super::support::{at, demand, grant_at, granted, grants, peer, pool, report};
 
 /// Guards against reporting a change when the limit stays the same, and against missing one.
 #[test]
@@ -83,7 +83,7 @@
         let before = simulate_requests(&mut pool, 0, 4_000);
         let count = max_requests(&before, "e");
         assert!(count > 60, "{count} requests in 4 s without a limit");
-        assert!(pool.note_rate_limit(at(4_000), &told_of("e"), Some(per_s)));
+        assert!(pool.note_rate_limit(at(4_000), &grant_at("e"), Some(per_s)));
         let sent = simulate_requests(&mut pool, 4_000, 24_000);
         let (count, allowed) = (max_requests(&sent, "e"), allowed_requests(per_s));
         assert!(count <= allowed, "{count} requests in 4 s, {allowed} allowed at {per_s}/s");
@@ -99,9 +99,9 @@
 #[test]
 fn a_withdrawn_limit_no_longer_applies() {
     let mut pool = pool(&["e"]);
-    pool.note_rate_limit(at(0), &told_of("e"), Some(1.0));
+    pool.note_rate_limit(at(0), &grant_at("e"), Some(1.0));
     simulate_requests(&mut pool, 0, 2_000);
-    assert!(pool.note_rate_limit(at(2_000), &told_of("e"), None));
+    assert!(pool.note_rate_limit(at(2_000), &grant_at("e"), None));
     let sent = simulate_requests(&mut pool, 2_000, 6_000);
     assert!(max_requests(&sent, "e") >= 4 * ARRIVALS_PER_S as usize);
 }
@@ -133,7 +133,7 @@
 #[test]
 fn a_changed_limit_is_reported_at_once_and_repeated_for_some_seconds() {
     let mut pool = pool(&["e", "f"]);
-    pool.note_rate_limit(at(1_000), &told_of("e"), Some(2.0));
+    pool.note_rate_limit(at(1_000), &grant_at("e"), Some(2.0));
     assert!(pool.has_work(at(1_000)));
     let reported = |pool: &mut Pool, ms, all| {
         let endpoints = pool.report(at(ms), all);
@@ -152,7 +152,7 @@
 #[test]
 fn requests_placed_by_another_daemon_count_against_the_limit() {
     let mut pool = pool(&["e"]);
-    pool.note_rate_limit(at(0), &told_of("e"), Some(1.0));
+    pool.note_rate_limit(at(0), &grant_at("e"), Some(1.0));
     for ms in [3_000, 3_100] {
         let taken = pool.take(at(ms), &"e".into(), &demand(ms, 0), 0);
         pool.end(at(ms + 10), &taken.unwrap(), 0, Outcome::Served);
--- a/crates/decide/tests/testsuite/gateway/support.rs
+++ b/crates/decide/tests/testsuite/gateway/support.rs
@@ -63,7 +63,7 @@
 }
 
 /// Creates a grant at an endpoint that was not granted by a pool, to report measurements with.
-pub(super) fn told_of(name: &str) -> Grant {
+pub(super) fn grant_at(name: &str) -> Grant {
     Grant {
         endpoint: name.into(),
         start: 0,
