--- a/crates/decide/src/schedule/adopted.rs
+++ b/crates/decide/src/schedule/adopted.rs
@@ -1,17 +1,19 @@
-//! Work that another scheduler permitted.
+//! Requests in progress that another scheduler permitted.
 
 use trefoildyke_types::{id, request};
 
-/// Reports a request in progress to a scheduler that did not permit it.
+/// A request in progress, reported to a scheduler that did not permit it.
 ///
-/// Coordinators send it after a takeover, so that the new scheduler's accounts are right.
+/// Coordinators send it after a takeover, so that the new scheduler accounts for all work in
+/// progress.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adopted {
-    /// The request, as it was asked for; `left_ms` counts from now.
+    /// The original request, except that `left_ms` counts from now.
     pub ask: request::Ask,
-    /// Where it runs.
+    /// The endpoint that the request runs on.
     pub endpoint: id::EndpointName,
-    /// How many tokens it has answered so far; 0 says that its prompt is still being processed.
+    /// How many tokens of the answer have been generated; 0 means that the prompt is still being
+    /// processed.
     pub tokens: u32,
 }
--- a/crates/decide/src/schedule/endpoint_info.rs
+++ b/crates/decide/src/schedule/endpoint_info.rs
@@ -1,15 +1,15 @@
-//! What the configuration says of an endpoint.
+//! The description of an endpoint.
 
 use trefoildyke_types::id;
 
-/// Describes an endpoint to the scheduler. Its speed is learned, not declared.
+/// The configured properties of an endpoint. Its speed is learned, not configured.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointInfo {
     /// The endpoint.
     pub endpoint: id::EndpointName,
-    /// How many requests it runs at once; 0 counts as 1.
+    /// The number of requests that the endpoint runs at once; 0 counts as 1.
     pub slots: u32,
-    /// How many prompt tokens its prefix cache holds; 0 for none.
+    /// The capacity of the endpoint's prefix cache, in prompt tokens; 0 means no cache.
     pub cache_tokens: u32,
 }
--- a/crates/decide/src/schedule/estimate.rs
+++ b/crates/decide/src/schedule/estimate.rs
@@ -1,20 +1,21 @@
-//! Estimates that follow what is observed.
+//! Statistical estimators that are updated with each observation.
 
-/// Follows a quantity by a mean over a window of time.
+/// Estimates a quantity by a weighted moving average.
 ///
-/// Until the window is full it is the plain mean of all observations and the prior.
+/// Until the observations' weights fill the window, the value is the plain weighted mean of the
+/// prior and all observations.
 #[derive(Clone, Debug)]
-pub(super) struct Mean {
+pub(super) struct MovingAverage {
     value: f64,
-    /// How much was observed, at most `window`.
-    seen: f64,
+    /// The total weight of the prior and the observations, at most `window`.
+    total_weight: f64,
     window: f64,
 }
 
-impl Mean {
-    /// Starts with `prior`, which counts as much as an observation of weight `belief`.
-    pub(super) fn new(prior: f64, belief: f64, window: f64) -> Self {
-        Self { value: prior, seen: belief, window }
+impl MovingAverage {
+    /// Creates an average of `prior`, which counts as one observation of weight `prior_weight`.
+    pub(super) fn new(prior: f64, prior_weight: f64, window: f64) -> Self {
+        Self { value: prior, total_weight: prior_weight, window }
     }
 
     pub(super) fn value(&self) -> f64 {
@@ -22,59 +23,59 @@
     }
 
     pub(super) fn observe(&mut self, value: f64, weight: f64) {
-        self.seen += weight;
-        self.value += (value - self.value) * (weight / self.seen).min(1.0);
-        self.seen = self.seen.min(self.window);
+        self.total_weight += weight;
+        self.value += (value - self.value) * (weight / self.total_weight).min(1.0);
+        self.total_weight = self.total_weight.min(self.window);
     }
 
-    /// Forgets what was observed and continues at `value`.
+    /// Sets the average to `value`; the accumulated weight stays.
     pub(super) fn reset(&mut self, value: f64) {
         self.value = value;
     }
 }
 
-/// Follows a line through observed points, the latest weighing most.
+/// Fits a line to observed points by linear regression, with exponentially decaying weights.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Line {
-    weight: f64,
-    x: f64,
-    y: f64,
-    xx: f64,
-    xy: f64,
-    /// Worked out once for each new point, since it is read far more often.
+pub(super) struct LinearRegression {
+    sum_weight: f64,
+    sum_x: f64,
+    sum_y: f64,
+    sum_xx: f64,
+    sum_xy: f64,
+    /// Computed once for each new point, since it is read far more often.
     slope: f64,
     intercept: f64,
 }
 
-/// What an older point keeps of its weight at each new one.
-const KEEP: f64 = 0.99;
+/// The factor by which each new point reduces the weights of the older ones.
+const DECAY: f64 = 0.99;
 
-/// The `x` of a point that weighs 1.
-const UNIT: f64 = 100.0;
+/// The `x` of a point of weight 1.
+const UNIT_X: f64 = 100.0;
 
-impl Line {
-    /// Starts at the line with this intercept and slope, believed at `x` as at one point.
+impl LinearRegression {
+    /// Creates a regression from a prior line, entered as two points: one at 0 and one at `x`.
     pub(super) fn new(intercept: f64, slope: f64, x: f64) -> Self {
-        let mut line = Self::default();
-        line.observe(0.0, intercept);
-        line.observe(x, intercept + slope * x);
-        line
+        let mut regression = Self::default();
+        regression.observe(0.0, intercept);
+        regression.observe(x, intercept + slope * x);
+        regression
     }
 
-    /// Takes in a point; one with a larger `x` weighs more, since it tells more of the slope.
+    /// Adds a point; its weight grows with `x`, since a larger `x` determines the slope better.
     pub(super) fn observe(&mut self, x: f64, y: f64) {
-        let weight = (x / UNIT).clamp(0.25, 100.0);
-        self.weight = self.weight * KEEP + weight;
-        self.x = self.x * KEEP + weight * x;
-        self.y = self.y * KEEP + weight * y;
-        self.xx = self.xx * KEEP + weight * x * x;
-        self.xy = self.xy * KEEP + weight * x * y;
-        self.slope = self.fit();
-        self.intercept = ((self.y - self.slope * self.x) / self.weight).max(0.0);
+        let weight = (x / UNIT_X).clamp(0.25, 100.0);
+        self.sum_weight = self.sum_weight * DECAY + weight;
+        self.sum_x = self.sum_x * DECAY + weight * x;
+        self.sum_y = self.sum_y * DECAY + weight * y;
+        self.sum_xx = self.sum_xx * DECAY + weight * x * x;
+        self.sum_xy = self.sum_xy * DECAY + weight * x * y;
+        self.slope = self.fit_slope();
+        self.intercept = ((self.sum_y - self.slope * self.sum_x) / self.sum_weight).max(0.0);
     }
 
-    /// Returns the line's value; intercept and slope count as 0 where they are negative.
-    pub(super) fn at(&self, x: f64) -> f64 {
+    /// Returns the line's value at `x`. Neither the intercept nor the slope is negative.
+    pub(super) fn predict(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 
@@ -82,11 +83,13 @@
         self.slope
     }
 
-    /// Returns the slope, or the mean ratio if the points do not tell a slope.
-    fn fit(&self) -> f64 {
-        let spread = self.weight * self.xx - self.x * self.x;
-        let slope = (self.weight * self.xy - self.x * self.y) / spread.max(f64::MIN_POSITIVE);
-        let ratio = self.y / self.x.max(1.0);
+    /// Returns the slope, at most the ratio of the means; or that ratio if the points do not
+    /// determine a positive slope.
+    fn fit_slope(&self) -> f64 {
+        let determinant = self.sum_weight * self.sum_xx - self.sum_x * self.sum_x;
+        let slope = (self.sum_weight * self.sum_xy - self.sum_x * self.sum_y)
+            / determinant.max(f64::MIN_POSITIVE);
+        let ratio = self.sum_y / self.sum_x.max(1.0);
         if slope.is_finite() && slope > 0.0 { slope.min(ratio) } else { ratio }
     }
 }
--- a/crates/decide/src/schedule/fleet/mod.rs
+++ b/crates/decide/src/schedule/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! The endpoints of a shard: what they have to do, how fast they are, whether they can be trusted.
+//! The endpoints of a shard: their outstanding work, speed and health.
 
 mod endpoint;
+mod endpoints;
 mod health;
-mod members;
-mod rates;
+mod speed;
 
 pub(super) use endpoint::Endpoint;
-pub(super) use health::{Finding, Health};
-pub(super) use members::Fleet;
-pub(super) use rates::Rates;
+pub(super) use endpoints::Fleet;
+pub(super) use health::{Cause, Health};
+pub(super) use speed::Speed;
--- a/crates/decide/src/schedule/input.rs
+++ b/crates/decide/src/schedule/input.rs
@@ -1,47 +1,48 @@
-//! What a shard's scheduler is told.
+//! The events that a shard's scheduler handles.
 
 use trefoildyke_types::{engine, id, request, time};
 
 use crate::schedule;
 
-/// Tells the scheduler of one event.
+/// An event for the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Input {
-    /// A coordinator asks for a permit; asking again is harmless.
+    /// A coordinator asks for a permit; asking again has no further effect.
     Ask(request::Ask),
-    /// A coordinator reports on a request that it asked for.
+    /// A coordinator reports the progress of a request that it asked for.
     Report(schedule::Report),
-    /// A coordinator reports work that another scheduler permitted.
+    /// A coordinator reports a request in progress that another scheduler permitted.
     Adopt(schedule::Adopted),
-    /// A coordinator is lost and will report nothing more.
+    /// A coordinator is lost and will send no more reports.
     ///
-    /// What it dispatched may go on, but only the endpoints' load reports tell of it.
+    /// The requests that it dispatched may still run, but only the endpoints' load reports show
+    /// them.
     CoordinatorLost(id::Incarnation),
     /// An endpoint reported its load.
     Load {
         /// The endpoint.
         endpoint: id::EndpointName,
-        /// When the report was true, on the scheduler's clock.
+        /// The time that the report describes, by the scheduler's clock.
         as_of: time::Timestamp,
-        /// The report; its own time is not read.
+        /// The report; its own timestamp is ignored.
         report: engine::LoadReport,
     },
-    /// An endpoint published changes of its prefix cache.
+    /// An endpoint published changes to its prefix cache.
     Cache {
         /// The endpoint.
         endpoint: id::EndpointName,
-        /// The changes, in the engine's order as far as they arrived.
+        /// The changes, in the engine's order; some may be missing.
         events: Vec<engine::CacheEvent>,
     },
-    /// An endpoint may be used; repeated when its description changes.
+    /// An endpoint may be used; sent again when its description changes.
     EndpointUp(schedule::EndpointInfo),
-    /// An endpoint gets no new work; what it has goes on.
+    /// An endpoint gets no new work; its requests in progress continue.
     EndpointLeaving(id::EndpointName),
-    /// An endpoint is lost with all its work.
+    /// An endpoint and all of its requests are lost.
     EndpointGone(id::EndpointName),
-    /// The configuration of a client account, at the start and at each change.
+    /// The configuration of a client account; sent at the start and after each change.
     Account(schedule::AccountShare),
-    /// Time has passed: answers [`schedule::Output::WakeAt`].
+    /// Time has passed; this is the wake-up that [`schedule::Output::WakeAt`] asked for.
     Tick,
 }
--- a/crates/decide/src/schedule/mod.rs
+++ b/crates/decide/src/schedule/mod.rs
@@ -1,16 +1,15 @@
-//! Order and place of the requests of one pool shard.
+//! Scheduling of one pool shard's requests: in which order they run, and on which endpoint.
 //!
-//! [`Shard`] is the whole interface: feed it [`Input`]s with the time at which they came, and carry
-//! out the [`Output`]s. It never reads a clock and does no I/O, so the daemon, the experiments in
-//! virtual time and the property tests run the same code. `docs/design/scheduler.md` tells which
-//! ways were weighed.
+//! [`Shard`] is the whole interface: pass it each [`Input`] with the time at which it arrived, and
+//! carry out the returned [`Output`]s. It never reads a clock and does no I/O, so the daemon, the
+//! experiments in virtual time and the property tests run the same code. `docs/design/scheduler.md`
+//! describes the alternatives that were considered.
 
 mod account_share;
 mod adopted;
 mod endpoint_info;
 mod estimate;
 mod fleet;
-mod flow;
 mod input;
 mod lengths;
 mod outcome;
@@ -21,6 +20,7 @@
 mod queue;
 mod report;
 mod shard;
+mod work_rates;
 
 pub use account_share::AccountShare;
 pub use adopted::Adopted;
--- a/crates/decide/src/schedule/outcome.rs
+++ b/crates/decide/src/schedule/outcome.rs
@@ -1,10 +1,10 @@
-//! How a permitted request ended.
+//! Outcomes of permitted requests.
 
-/// Says how a permitted request ended.
+/// The way in which a permitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
     /// The request was cancelled.
     Cancelled,
--- a/crates/decide/src/schedule/params.rs
+++ b/crates/decide/src/schedule/params.rs
@@ -1,55 +1,63 @@
-//! Settings of the scheduler.
+//! Scheduler settings.
 
 use std::time;
 
-/// Holds the settings of a shard's scheduler. Durations are whole microseconds or longer.
+/// The settings of a shard's scheduler. Durations are whole microseconds or longer.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Params {
-    /// How long a permit holds before its dispatch must have been reported; 2 s.
+    /// How long after a permit its dispatch must be reported; 2 s.
     ///
-    /// The scheduler itself waits half as long again, for a report that is on its way.
+    /// The scheduler itself waits half as long again, for a report that is in transit.
     pub permit_ttl: time::Duration,
-    /// The prompt speed assumed of an endpoint before it was measured; 20,000 tokens a second.
+    /// The prompt processing speed assumed for an endpoint until it is measured; 20,000 tokens per
+    /// second.
     pub prefill_rate: f64,
-    /// The step time assumed of an endpoint before it was measured; 8 ms.
+    /// The step time assumed for an endpoint until it is measured; 8 ms.
     pub step_time: time::Duration,
-    /// How much prompt work an endpoint may have outstanding and still get more; 150 ms.
+    /// The maximum outstanding prompt processing time at which an endpoint still gets new requests;
+    /// 150 ms.
     pub prefill_queue: time::Duration,
-    /// From how much prompt work on a request counts as long; 150 ms.
+    /// The prompt processing time from which a request counts as a long prompt; 150 ms.
     pub long_prefill: time::Duration,
-    /// The share of the endpoints that may process a long prompt at a time, at least one; 0.5.
+    /// The share of the endpoints that may process a long prompt at the same time; 0.5, and always
+    /// at least one endpoint.
     pub long_share: f64,
-    /// How many times its own length unshared prompt work weighs more in placing; 40.
+    /// The weight of the prompt processing time that the cache does not save, in the cost of a
+    /// placement; 40.
     ///
-    /// 0 places by the predicted finish alone. A high weight costs the waiting little: what is not
-    /// processed twice is left for others.
+    /// 0 means that the predicted finish and the time to the first token alone decide. A high
+    /// weight delays waiting requests little: work that is not done twice leaves time for other
+    /// requests.
     pub prefill_weight: f64,
-    /// How many times its own length the time to the first token weighs more in placing; 2.
+    /// The weight of the time to the first token in the cost of a placement; 2.
     pub first_weight: f64,
-    /// How long a request may be held for a better endpoint that is not free; 1 s.
+    /// How long a request may be held for a better endpoint that is busy; 1 s.
     pub hold_limit: time::Duration,
-    /// The part of the time left that the predicted wait and service may fill; 0.9.
+    /// The share of the time until a new request's latest useful start that its predicted wait may
+    /// take; 0.9.
     ///
-    /// Above it the request is shed. Lower values shed earlier and waste less.
+    /// A request above it is shed. Lower values shed earlier and waste less work.
     pub shed_margin: f64,
-    /// The longest retry-after that a refusal names; 30 s.
+    /// The longest retry-after time in a refusal; 30 s.
     pub retry_limit: time::Duration,
-    /// From how many times its own usual step time on, against its peers, an endpoint is
+    /// The slowdown, relative to its own baseline and to its peers, from which an endpoint is
     /// suspended; 2.5.
     pub straggler_ratio: f64,
-    /// How long an endpoint with work in progress may say nothing before it is suspended; 1 s.
+    /// How long an endpoint with requests in progress may be silent before it is suspended; 1 s.
     ///
-    /// Extended to four times the usual time between two reports.
+    /// Extended to four times the average interval between its reports if that is longer, plus time
+    /// for its outstanding prompts.
     pub silence_limit: time::Duration,
     /// How often a suspended endpoint is probed; 1 s.
     pub probe_interval: time::Duration,
-    /// How long an endpoint is suspended for being slow before its new speed is taken as usual; 5 s.
+    /// How long an endpoint is suspended for slowness before its new speed becomes its baseline; 5
+    /// s.
     pub accept_after: time::Duration,
 }
 
 impl Params {
-    /// Returns up to how many times the usual step time an endpoint counts as recovered.
+    /// Returns the slowdown up to which an endpoint counts as recovered.
     pub(super) fn recovery_ratio(&self) -> f64 {
         1.0 + (self.straggler_ratio - 1.0) / 2.0
     }
--- a/crates/decide/src/schedule/permitted.rs
+++ b/crates/decide/src/schedule/permitted.rs
@@ -1,48 +1,48 @@
-//! Requests that were permitted and have not ended.
+//! Permitted requests that have not ended.
 
 use trefoildyke_types::{id, request, time::Timestamp};
 
 use crate::schedule::prefix;
 
-/// Holds a permitted request.
+/// A permitted request that has not ended.
 #[derive(Clone, Debug)]
 pub(super) struct Permitted {
     pub(super) permit: request::Permit,
-    /// Who reports on it.
+    /// The coordinator that reports on the request.
     pub(super) coordinator: id::Incarnation,
-    /// The endpoint's number.
+    /// The endpoint's index in the fleet.
     pub(super) endpoint: usize,
     pub(super) rank: u8,
     pub(super) checkpoints: Vec<prefix::Checkpoint>,
-    /// The work that was charged to the account.
+    /// The work that was charged to the account; 0 for adopted requests.
     pub(super) cost: f64,
     /// Prompt tokens that count as outstanding at the endpoint; 0 once they are processed.
     pub(super) prefill: u32,
-    /// Whether it counts as a long prompt at the endpoint.
+    /// Whether the request counts as a long prompt at the endpoint.
     pub(super) is_long: bool,
     pub(super) max_tokens: u32,
-    /// Tokens answered so far, and when that was known.
+    /// The tokens generated so far, as last reported.
     pub(super) tokens: u32,
-    pub(super) heard: Timestamp,
+    pub(super) last_report_at: Timestamp,
     pub(super) phase: Phase,
 }
 
-/// Says how far a permitted request has come; it only moves on.
+/// The phase of a permitted request; it never goes back to an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The permit is on its way or unused; it lapses at this time.
+    /// The permit was sent and its use is not reported yet; it expires at this time.
     Granted(Timestamp),
     /// The request was dispatched at this time.
-    Sent(Timestamp),
-    /// The request, dispatched at this time, gives tokens.
+    Dispatched(Timestamp),
+    /// The request was dispatched at this time and is generating tokens.
     Streaming(Timestamp),
 }
 
 impl Permitted {
-    pub(super) const fn sent(&self) -> Option<Timestamp> {
+    pub(super) const fn dispatched_at(&self) -> Option<Timestamp> {
         match self.phase {
             Phase::Granted(_) => None,
-            Phase::Sent(at) | Phase::Streaming(at) => Some(at),
+            Phase::Dispatched(at) | Phase::Streaming(at) => Some(at),
         }
     }
 
--- a/crates/decide/src/schedule/prefix/checkpoint.rs
+++ b/crates/decide/src/schedule/prefix/checkpoint.rs
@@ -1,37 +1,37 @@
-//! The blocks of a prompt that stand for its prefixes.
+//! Selected blocks of a prompt that represent its prefixes.
 
 use trefoildyke_types::engine;
 
-/// Stands for all blocks of a prompt up to a position.
+/// A prompt block that represents all blocks up to its position.
 ///
-/// Remembering only these keeps the cost of a placement logarithmic in the prompt's length; a match
-/// is found too short by at most a quarter.
+/// Only these blocks are remembered, which keeps the cost of a placement logarithmic in the
+/// prompt's length. In return, a match is found too short by at most a quarter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::schedule) struct Checkpoint {
     /// The hash of the block, which covers all blocks before it.
     pub(in crate::schedule) block: u64,
-    /// The prompt tokens up to and with the block.
+    /// The number of prompt tokens up to the end of the block.
     pub(in crate::schedule) tokens: u32,
-    /// How many blocks lie between the checkpoint before and this one, this one included.
+    /// The number of blocks after the previous checkpoint, up to and including this one.
     pub(in crate::schedule) blocks: u32,
 }
 
-/// Positions up to this one are all checkpoints.
-const DENSE: usize = 4;
+/// Every block up to this position is a checkpoint.
+const DENSE_POSITIONS: usize = 4;
 
 /// Returns the checkpoints of a prompt, the shortest prefix first.
 pub(in crate::schedule) fn checkpoints(prefix: &[u64]) -> Vec<Checkpoint> {
-    let mut found = Vec::new();
+    let mut checkpoints = Vec::new();
     let (mut before, mut position) = (0, 1);
     while before < prefix.len() {
-        let at = position.min(prefix.len());
-        found.push(Checkpoint {
-            block: prefix[at - 1],
-            tokens: at as u32 * engine::BLOCK_TOKENS,
-            blocks: (at - before) as u32,
+        let end = position.min(prefix.len());
+        checkpoints.push(Checkpoint {
+            block: prefix[end - 1],
+            tokens: end as u32 * engine::BLOCK_TOKENS,
+            blocks: (end - before) as u32,
         });
-        before = at;
-        position = if at < DENSE { at + 1 } else { at + at / 4 };
+        before = end;
+        position = if end < DENSE_POSITIONS { end + 1 } else { end + end / 4 };
     }
-    found
+    checkpoints
 }
--- a/crates/decide/src/schedule/prefix/index.rs
+++ b/crates/decide/src/schedule/prefix/index.rs
@@ -1,33 +1,34 @@
-//! Finds the endpoints that have a prompt's prefix.
+//! An index of the prompt prefixes that endpoints have cached.
 
 use std::collections;
 
 use trefoildyke_types::engine;
 
-use crate::schedule::prefix::{Checkpoint, contents};
+use crate::schedule::prefix::{Checkpoint, cache_model};
 
-/// How many endpoints the index tells apart; others are never matched.
+/// The number of endpoints that the index covers; others never match.
 const MAX_ENDPOINTS: usize = 64;
 
-/// Holds which endpoints have which prefixes.
+/// Records which endpoints have which prompt prefixes cached.
 ///
-/// What the scheduler placed is entered as pending, becomes ready with the first token, and leaves
-/// as the least recently used; cache events correct it. Memory is bounded by the caches' sizes.
+/// A placed prompt's blocks are pending until its first token arrives, then ready, and leave as the
+/// least recently used; cache events correct the entries. Memory is bounded by the sizes of the
+/// caches.
 #[derive(Clone, Debug)]
 pub(in crate::schedule) struct Index {
     holders: collections::HashMap<u64, Holders>,
-    contents: Vec<contents::Contents>,
+    caches: Vec<cache_model::CacheModel>,
 }
 
-/// Names the endpoints that have a block, one bit each.
+/// The endpoints that have a block, as bit masks.
 #[derive(Clone, Copy, Debug, Default)]
 struct Holders {
     ready: u64,
-    /// Endpoints that are processing the block.
+    /// The endpoints that are processing the block.
     pending: u64,
 }
 
-/// Tells for each endpoint how many prompt tokens its cache has.
+/// How many tokens of a prompt each endpoint's cache has.
 #[derive(Clone, Debug)]
 pub(in crate::schedule) struct Matches {
     /// Tokens that can be reused now.
@@ -37,12 +38,13 @@
 }
 
 impl Matches {
-    /// Returns how many prompt tokens the endpoint's cache has.
+    /// Returns how many of the prompt's tokens the endpoint's cache has.
     pub(in crate::schedule) fn get(&self, endpoint: usize) -> u32 {
         self.ready.get(endpoint).copied().unwrap_or(0)
     }
 
-    /// Returns how many it will have once the prompts in progress are processed.
+    /// Returns how many tokens the endpoint's cache will have once the prompts in progress are
+    /// processed.
     pub(in crate::schedule) fn pending(&self, endpoint: usize) -> u32 {
         self.pending.get(endpoint).copied().unwrap_or(0)
     }
@@ -52,51 +54,59 @@
     pub(in crate::schedule) fn new() -> Self {
         Self {
             holders: collections::HashMap::new(),
-            contents: vec![contents::Contents::default(); MAX_ENDPOINTS],
+            caches: vec![cache_model::CacheModel::default(); MAX_ENDPOINTS],
         }
     }
 
-    /// Sets how many prompt tokens the cache of an endpoint holds.
+    /// Sets the capacity of an endpoint's cache, in prompt tokens.
     pub(in crate::schedule) fn resize(&mut self, endpoint: usize, tokens: u32) {
-        if let Some(contents) = self.contents.get_mut(endpoint) {
-            contents.resize(u64::from(tokens / engine::BLOCK_TOKENS));
+        if let Some(cache) = self.caches.get_mut(endpoint) {
+            cache.resize(u64::from(tokens / engine::BLOCK_TOKENS));
             self.evict(endpoint);
         }
     }
 
-    /// Returns what the endpoints have of a prompt.
+    /// Returns how much of a prompt each endpoint has.
     pub(in crate::schedule) fn matches(&self, checkpoints: &[Checkpoint]) -> Matches {
         let mut matches = Matches { ready: [0; MAX_ENDPOINTS], pending: [0; MAX_ENDPOINTS] };
         let (mut ready, mut pending) = (0, 0);
         for checkpoint in checkpoints.iter().rev() {
             let Some(holders) = self.holders.get(&checkpoint.block) else { continue };
-            set(&mut matches.ready, holders.ready & !ready, checkpoint.tokens);
-            set(&mut matches.pending, holders.pending & !pending, checkpoint.tokens);
+            set_tokens(&mut matches.ready, holders.ready & !ready, checkpoint.tokens);
+            set_tokens(&mut matches.pending, holders.pending & !pending, checkpoint.tokens);
             ready |= holders.ready;
             pending |= holders.pending;
         }
         matches
     }
 
-    /// Enters a prompt that was placed and is to be processed.
-    pub(in crate::schedule) fn place(&mut self, endpoint: usize, checkpoints: &[Checkpoint]) {
-        self.enter(endpoint, checkpoints, true, |holders, bit| {
+    /// Adds a placed prompt that is still to be processed.
+    pub(in crate::schedule) fn insert_pending(
+        &mut self,
+        endpoint: usize,
+        checkpoints: &[Checkpoint],
+    ) {
+        self.insert(endpoint, checkpoints, true, |holders, bit| {
             if holders.ready & bit == 0 {
                 holders.pending |= bit;
             }
         });
     }
 
-    /// Says that a placed prompt is processed.
-    pub(in crate::schedule) fn confirm(&mut self, endpoint: usize, checkpoints: &[Checkpoint]) {
-        self.enter(endpoint, checkpoints, false, |holders, bit| {
+    /// Marks a placed prompt as processed.
+    pub(in crate::schedule) fn mark_ready(&mut self, endpoint: usize, checkpoints: &[Checkpoint]) {
+        self.insert(endpoint, checkpoints, false, |holders, bit| {
             holders.pending &= !bit;
             holders.ready |= bit;
         });
     }
 
-    /// Takes back a placed prompt that will not be processed.
-    pub(in crate::schedule) fn withdraw(&mut self, endpoint: usize, checkpoints: &[Checkpoint]) {
+    /// Removes a placed prompt that will not be processed.
+    pub(in crate::schedule) fn remove_pending(
+        &mut self,
+        endpoint: usize,
+        checkpoints: &[Checkpoint],
+    ) {
         for checkpoint in checkpoints {
             let Some(holders) = self.holders.get(&checkpoint.block) else { continue };
             if endpoint < MAX_ENDPOINTS && holders.ready & (1 << endpoint) == 0 {
@@ -105,14 +115,14 @@
         }
     }
 
-    /// Takes in a change that an engine published.
-    pub(in crate::schedule) fn publish(&mut self, endpoint: usize, event: &engine::CacheEvent) {
-        let Some(contents) = self.contents.get_mut(endpoint) else { return };
+    /// Applies a cache event that an engine published.
+    pub(in crate::schedule) fn apply_event(&mut self, endpoint: usize, event: &engine::CacheEvent) {
+        let Some(cache) = self.caches.get_mut(endpoint) else { return };
         let bit = 1 << endpoint;
         match event.kind {
             engine::CacheEventKind::Stored => {
-                if !contents.contains(event.block) {
-                    contents.touch(event.block, 0);
+                if !cache.contains(event.block) {
+                    cache.touch(event.block, 0);
                 }
                 let holders = self.holders.entry(event.block).or_default();
                 holders.ready |= bit;
@@ -128,26 +138,27 @@
         }
     }
 
-    /// Forgets all that an endpoint had.
+    /// Removes all entries of an endpoint.
     pub(in crate::schedule) fn clear(&mut self, endpoint: usize) {
-        let Some(contents) = self.contents.get_mut(endpoint) else { return };
-        for block in contents.clear() {
+        let Some(cache) = self.caches.get_mut(endpoint) else { return };
+        for block in cache.clear() {
             self.unset(endpoint, block);
         }
     }
 
-    fn enter(
+    fn insert(
         &mut self,
         endpoint: usize,
         checkpoints: &[Checkpoint],
-        is_use: bool,
+        is_used: bool,
         change: impl Fn(&mut Holders, u64),
     ) {
-        let Some(contents) = self.contents.get_mut(endpoint) else { return };
-        // The beginning of a prompt counts as used last: a chain loses its end first.
+        let Some(cache) = self.caches.get_mut(endpoint) else { return };
+        // The blocks are touched in reverse order, so that the end of a prefix is evicted before
+        // its beginning.
         for checkpoint in checkpoints.iter().rev() {
-            if is_use || !contents.contains(checkpoint.block) {
-                contents.touch(checkpoint.block, checkpoint.blocks);
+            if is_used || !cache.contains(checkpoint.block) {
+                cache.touch(checkpoint.block, checkpoint.blocks);
             }
             change(self.holders.entry(checkpoint.block).or_default(), 1 << endpoint);
         }
@@ -155,13 +166,13 @@
     }
 
     fn evict(&mut self, endpoint: usize) {
-        while let Some(block) = self.contents[endpoint].evict() {
+        while let Some(block) = self.caches[endpoint].evict() {
             self.unset(endpoint, block);
         }
     }
 
     fn remove(&mut self, endpoint: usize, block: u64) {
-        self.contents[endpoint].remove(block);
+        self.caches[endpoint].remove(block);
         self.unset(endpoint, block);
     }
 
@@ -175,7 +186,7 @@
     }
 }
 
-fn set(tokens: &mut [u32; MAX_ENDPOINTS], mut bits: u64, value: u32) {
+fn set_tokens(tokens: &mut [u32; MAX_ENDPOINTS], mut bits: u64, value: u32) {
     while bits != 0 {
         tokens[bits.trailing_zeros() as usize] = value;
         bits &= bits - 1;
--- a/crates/decide/src/schedule/prefix/mod.rs
+++ b/crates/decide/src/schedule/prefix/mod.rs
@@ -1,7 +1,7 @@
-//! Which endpoint has which prompt prefix in its cache.
+//! Tracking of the prompt prefixes in the endpoints' caches.
 
+mod cache_model;
 mod checkpoint;
-mod contents;
 mod index;
 
 pub(super) use checkpoint::{Checkpoint, checkpoints};
--- a/crates/decide/src/schedule/queue/account_queue.rs
+++ b/crates/decide/src/schedule/queue/account_queue.rs
@@ -4,11 +4,12 @@
 
 use trefoildyke_types::time::Timestamp;
 
-/// Holds one account's waiting requests of one tier by deadline.
+/// One account's waiting requests of one tier, ordered by deadline.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AccountQueue {
-    /// The account's use so far, in work divided by weight, on the tier's virtual clock.
-    pub(super) clock: u64,
+    /// The account's virtual time: the work that it was served, divided by its weight, in the
+    /// tier's ticks.
+    pub(super) virtual_time: u64,
     /// At least 1.
     pub(super) weight: u32,
     /// The sum of the waiting requests' costs.
@@ -23,14 +24,14 @@
     }
 
     pub(super) fn insert(&mut self, deadline: Timestamp, number: u64, is_long: bool) {
-        self.class(is_long).insert((deadline, number));
+        self.by_length(is_long).insert((deadline, number));
     }
 
     pub(super) fn remove(&mut self, deadline: Timestamp, number: u64, is_long: bool) {
-        self.class(is_long).remove(&(deadline, number));
+        self.by_length(is_long).remove(&(deadline, number));
     }
 
-    /// Appends the first `count` requests by deadline to `found`.
+    /// Appends the numbers of the first `count` requests by deadline to `found`.
     pub(super) fn first(&self, count: usize, with_long: bool, found: &mut Vec<u64>) {
         let mut short = self.short.iter().peekable();
         let mut long = self.long.iter().take(if with_long { count } else { 0 }).peekable();
@@ -46,7 +47,7 @@
         }
     }
 
-    fn class(&mut self, is_long: bool) -> &mut collections::BTreeSet<(Timestamp, u64)> {
+    fn by_length(&mut self, is_long: bool) -> &mut collections::BTreeSet<(Timestamp, u64)> {
         if is_long { &mut self.long } else { &mut self.short }
     }
 }
--- a/crates/decide/src/schedule/queue/mod.rs
+++ b/crates/decide/src/schedule/queue/mod.rs
@@ -1,4 +1,4 @@
-//! The waiting requests, in the order in which they are served and in that in which they are shed.
+//! The queue of waiting requests, with the orders in which they are served and shed.
 
 mod account_queue;
 mod tier_queue;
--- a/crates/decide/src/schedule/queue/tier_queue.rs
+++ b/crates/decide/src/schedule/queue/tier_queue.rs
@@ -6,25 +6,27 @@
 
 use crate::schedule::queue::{account_queue, waiting};
 
-/// How fine the virtual clock divides a token.
-const TICKS: f64 = 256.0;
+/// The number of virtual time ticks for one token of work at weight 1.
+const TICKS_PER_TOKEN: f64 = 256.0;
 
-/// How many accounts without waiting requests are kept before they are swept.
-const IDLE_ACCOUNTS: usize = 256;
+/// Idle accounts are removed once they outnumber the accounts with waiting requests by more than
+/// this.
+const MAX_IDLE_ACCOUNTS: usize = 256;
 
-/// Shares a tier among client accounts by start-time fair queueing.
+/// The waiting requests of one tier, shared among client accounts by start-time fair queueing.
 ///
-/// The account with the lowest clock is served next; what it is served moves its clock on. One
-/// that starts to wait begins no earlier than the account that was served last.
+/// The account with the lowest virtual time is served next; the work that it is served increases
+/// its virtual time. An account that starts to wait begins no earlier than the virtual time of the
+/// account that was served last.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TierQueue {
     accounts: collections::HashMap<id::AccountName, account_queue::AccountQueue>,
-    /// The accounts with waiting requests by their clock.
+    /// The accounts with waiting requests, by their virtual time.
     order: collections::BTreeSet<(u64, id::AccountName)>,
-    /// The numbers of the waiting requests; higher is newer.
+    /// The numbers of the waiting requests; newer requests have higher numbers.
     numbers: collections::BTreeSet<u64>,
-    /// The clock of the account that was served last.
-    clock: u64,
+    /// The highest virtual time at which an account was served.
+    virtual_time: u64,
     /// The sum of the waiting requests' costs.
     work: f64,
     /// The sum of the waiting accounts' weights.
@@ -36,7 +38,7 @@
         self.numbers.is_empty()
     }
 
-    /// Returns the request that came last.
+    /// Returns the number of the newest request.
     pub(super) fn newest(&self) -> Option<u64> {
         self.numbers.last().copied()
     }
@@ -45,26 +47,26 @@
         self.work
     }
 
-    /// Returns the work that is served before a further request of `account` that costs `cost`.
+    /// Returns the work that would be served before another request of `account` with cost `cost`.
     pub(super) fn work_ahead(&self, account: &id::AccountName, weight: u32, cost: f64) -> f64 {
         let own = self.accounts.get(account);
         let own_work = own.map_or(0.0, |queue| queue.work);
-        let waits = own.is_some_and(|queue| !queue.is_empty());
+        let is_waiting = own.is_some_and(|queue| !queue.is_empty());
         let weight = f64::from(weight.max(1));
-        let others = self.weight as f64 - if waits { weight } else { 0.0 };
+        let others = self.weight as f64 - if is_waiting { weight } else { 0.0 };
         let by_share = (own_work + cost) * (weight + others.max(0.0)) / weight - cost;
         by_share.min(self.work)
     }
 
     pub(super) fn insert(&mut self, number: u64, waiting: &waiting::Waiting, weight: u32) {
         let account = &waiting.ask.key.account;
-        self.sweep();
+        self.remove_idle();
         let queue = self.accounts.entry(account.clone()).or_default();
         if queue.is_empty() {
             queue.weight = weight.max(1);
-            queue.clock = queue.clock.max(self.clock);
+            queue.virtual_time = queue.virtual_time.max(self.virtual_time);
             self.weight += u64::from(queue.weight);
-            self.order.insert((queue.clock, account.clone()));
+            self.order.insert((queue.virtual_time, account.clone()));
         }
         queue.insert(waiting.deadline, number, waiting.is_long);
         queue.work += waiting.cost;
@@ -82,47 +84,55 @@
         if queue.is_empty() {
             queue.work = 0.0;
             self.weight -= u64::from(queue.weight);
-            self.order.remove(&(queue.clock, account.clone()));
+            self.order.remove(&(queue.virtual_time, account.clone()));
         }
         if self.numbers.is_empty() {
             self.work = 0.0;
         }
     }
 
-    /// Moves an account's clock by work that it was served, or back if `cost` is negative.
+    /// Adds work that an account was served to its virtual time, or subtracts it if `cost` is
+    /// negative.
     pub(super) fn charge(&mut self, account: &id::AccountName, cost: f64, served: bool) {
         let Some(queue) = self.accounts.get_mut(account) else { return };
-        let waits = !queue.is_empty();
-        if waits {
-            self.order.remove(&(queue.clock, account.clone()));
+        let is_waiting = !queue.is_empty();
+        if is_waiting {
+            self.order.remove(&(queue.virtual_time, account.clone()));
         }
         if served {
-            self.clock = self.clock.max(queue.clock);
+            self.virtual_time = self.virtual_time.max(queue.virtual_time);
         }
-        let ticks = (cost.abs() * TICKS / f64::from(queue.weight.max(1))) as u64;
-        queue.clock = if cost < 0.0 {
-            queue.clock.saturating_sub(ticks)
+        let ticks = (cost.abs() * TICKS_PER_TOKEN / f64::from(queue.weight.max(1))) as u64;
+        queue.virtual_time = if cost < 0.0 {
+            queue.virtual_time.saturating_sub(ticks)
         } else {
-            queue.clock.saturating_add(ticks)
+            queue.virtual_time.saturating_add(ticks)
         };
-        if waits {
-            self.order.insert((queue.clock, account.clone()));
+        if is_waiting {
+            self.order.insert((queue.virtual_time, account.clone()));
         }
     }
 
-    /// Appends the requests to be served next: the first `each` of the first `accounts` accounts.
-    pub(super) fn next(&self, accounts: usize, each: usize, with_long: bool, found: &mut Vec<u64>) {
+    /// Appends the requests to serve next: the first `per_account` requests of each of the first
+    /// `accounts` accounts.
+    pub(super) fn candidates(
+        &self,
+        accounts: usize,
+        per_account: usize,
+        with_long: bool,
+        found: &mut Vec<u64>,
+    ) {
         for (_, account) in self.order.iter().take(accounts) {
             if let Some(queue) = self.accounts.get(account) {
-                queue.first(each, with_long, found);
+                queue.first(per_account, with_long, found);
             }
         }
     }
 
-    fn sweep(&mut self) {
-        if self.accounts.len() > IDLE_ACCOUNTS + 2 * self.order.len() {
-            let clock = self.clock;
-            self.accounts.retain(|_, queue| !queue.is_empty() || queue.clock > clock);
+    fn remove_idle(&mut self) {
+        if self.accounts.len() > MAX_IDLE_ACCOUNTS + 2 * self.order.len() {
+            let virtual_time = self.virtual_time;
+            self.accounts.retain(|_, queue| !queue.is_empty() || queue.virtual_time > virtual_time);
         }
     }
 }
--- a/crates/decide/src/schedule/queue/waiting_queue.rs
+++ b/crates/decide/src/schedule/queue/waiting_queue.rs
@@ -6,21 +6,22 @@
 
 use crate::schedule::queue::{tier_queue, waiting};
 
-/// Holds the waiting requests of a shard, by tier.
+/// The waiting requests of a shard, by tier.
 ///
-/// A request that is refused for overload is taken out by `shed` or `shed_below` only, and both
-/// empty the lower tiers first. This makes `TierOrder` hold by construction.
+/// A request that is refused for overload is removed by `shed` or `shed_below` only, and both empty
+/// the lower tiers first. This guarantees `TierOrder`.
 #[derive(Clone, Debug, Default)]
 pub(in crate::schedule) struct Queue {
     entries: collections::HashMap<u64, waiting::Waiting>,
-    numbers: collections::HashMap<id::RequestKey, u64>,
-    /// By rank; the last is the lowest tier. May hold empty tiers, which keep their clocks.
+    by_key: collections::HashMap<id::RequestKey, u64>,
+    /// The tiers by rank; the last is the lowest. Empty tiers may stay, which preserves their
+    /// virtual times.
     tiers: collections::BTreeMap<u8, tier_queue::TierQueue>,
-    /// By the latest useful start.
-    latest: collections::BTreeSet<(Timestamp, u64)>,
-    /// Each account's requests by rank, then age.
-    accounts: collections::HashMap<id::AccountName, collections::BTreeSet<(u8, u64)>>,
-    next: u64,
+    /// The requests by their latest useful start.
+    by_start: collections::BTreeSet<(Timestamp, u64)>,
+    /// Each account's requests by rank, then by age.
+    by_account: collections::HashMap<id::AccountName, collections::BTreeSet<(u8, u64)>>,
+    next_number: u64,
 }
 
 impl Queue {
@@ -33,7 +34,7 @@
     }
 
     pub(in crate::schedule) fn number(&self, key: &id::RequestKey) -> Option<u64> {
-        self.numbers.get(key).copied()
+        self.by_key.get(key).copied()
     }
 
     pub(in crate::schedule) fn get(&self, number: u64) -> Option<&waiting::Waiting> {
@@ -44,24 +45,24 @@
         self.entries.get_mut(&number)
     }
 
-    /// Returns the rank of the highest tier in which a request waits.
+    /// Returns the rank of the highest tier with a waiting request.
     pub(in crate::schedule) fn top_rank(&self) -> Option<u8> {
         self.tiers.iter().find(|(_, tier)| !tier.is_empty()).map(|(rank, _)| *rank)
     }
 
-    /// Returns the latest useful start that comes first.
-    pub(in crate::schedule) fn first_latest(&self) -> Option<(Timestamp, u64)> {
-        self.latest.first().copied()
+    /// Returns the earliest of the latest useful starts, with its request.
+    pub(in crate::schedule) fn first_latest_start(&self) -> Option<(Timestamp, u64)> {
+        self.by_start.first().copied()
     }
 
-    /// Returns how many requests of `account` wait.
+    /// Returns the number of waiting requests of `account`.
     pub(in crate::schedule) fn count_of(&self, account: &id::AccountName) -> usize {
-        self.accounts.get(account).map_or(0, collections::BTreeSet::len)
+        self.by_account.get(account).map_or(0, collections::BTreeSet::len)
     }
 
     /// Returns the newest request of the lowest tier in which `account` waits, with its rank.
     pub(in crate::schedule) fn lowest_of(&self, account: &id::AccountName) -> Option<(u8, u64)> {
-        self.accounts.get(account)?.last().copied()
+        self.by_account.get(account)?.last().copied()
     }
 
     /// Returns the newest request of the lowest tier.
@@ -69,12 +70,13 @@
         self.tiers.values().rev().find_map(tier_queue::TierQueue::newest)
     }
 
-    /// Returns the work that waits in tiers above `rank`.
+    /// Returns the waiting work of the tiers above `rank`.
     pub(in crate::schedule) fn work_above(&self, rank: u8) -> f64 {
         self.tiers.range(..rank).map(|(_, tier)| tier.work()).sum()
     }
 
-    /// Returns the work that is served before a further request of this kind, within its tier.
+    /// Returns the work of the tier that would be served before another request with these
+    /// properties.
     pub(in crate::schedule) fn work_ahead(
         &self,
         rank: u8,
@@ -86,37 +88,37 @@
     }
 
     pub(in crate::schedule) fn push(&mut self, waiting: waiting::Waiting, weight: u32) -> u64 {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let rank = waiting.ask.rank;
         self.tiers.entry(rank).or_default().insert(number, &waiting, weight);
-        self.latest.insert((waiting.latest, number));
+        self.by_start.insert((waiting.latest_start, number));
         let account = waiting.ask.key.account.clone();
-        self.accounts.entry(account).or_default().insert((rank, number));
-        self.numbers.insert(waiting.ask.key.clone(), number);
+        self.by_account.entry(account).or_default().insert((rank, number));
+        self.by_key.insert(waiting.ask.key.clone(), number);
         self.entries.insert(number, waiting);
         number
     }
 
-    /// Takes a request out that is granted or no longer wanted.
+    /// Removes and returns a request that is granted or no longer needed.
     pub(in crate::schedule) fn take(&mut self, number: u64) -> Option<waiting::Waiting> {
         let waiting = self.entries.remove(&number)?;
         let (rank, account) = (waiting.ask.rank, &waiting.ask.key.account);
-        self.numbers.remove(&waiting.ask.key);
-        self.latest.remove(&(waiting.latest, number));
+        self.by_key.remove(&waiting.ask.key);
+        self.by_start.remove(&(waiting.latest_start, number));
         if let Some(tier) = self.tiers.get_mut(&rank) {
             tier.remove(number, &waiting);
         }
-        if let Some(own) = self.accounts.get_mut(account) {
-            own.remove(&(rank, number));
-            if own.is_empty() {
-                self.accounts.remove(account);
+        if let Some(keys) = self.by_account.get_mut(account) {
+            keys.remove(&(rank, number));
+            if keys.is_empty() {
+                self.by_account.remove(account);
             }
         }
         Some(waiting)
     }
 
-    /// Takes a request out that is refused, after all requests of lower tiers.
+    /// Removes and returns a request that is refused, after all requests of lower tiers.
     pub(in crate::schedule) fn shed(&mut self, number: u64) -> Vec<waiting::Waiting> {
         let Some(rank) = self.get(number).map(|waiting| waiting.ask.rank) else {
             return Vec::new();
@@ -126,7 +128,8 @@
         shed
     }
 
-    /// Takes out all requests of tiers below `rank`, the lowest and newest first.
+    /// Removes and returns all requests of tiers below `rank`, starting with the newest of the
+    /// lowest.
     pub(in crate::schedule) fn shed_below(&mut self, rank: u8) -> Vec<waiting::Waiting> {
         let mut shed = Vec::new();
         while let Some(lowest) = self.pop_lowest(rank) {
@@ -135,7 +138,7 @@
         shed
     }
 
-    /// Moves the account's clock in the tier by work that it was served.
+    /// Adds work that the account was served in the tier to its virtual time.
     pub(in crate::schedule) fn charge(
         &mut self,
         rank: u8,
@@ -149,16 +152,16 @@
     }
 
     /// Appends the requests of the tier that are to be served next.
-    pub(in crate::schedule) fn next(
+    pub(in crate::schedule) fn candidates(
         &self,
         rank: u8,
         accounts: usize,
-        each: usize,
+        per_account: usize,
         with_long: bool,
         found: &mut Vec<u64>,
     ) {
         if let Some(tier) = self.tiers.get(&rank) {
-            tier.next(accounts, each, with_long, found);
+            tier.candidates(accounts, per_account, with_long, found);
         }
     }
 
--- a/crates/decide/src/schedule/report.rs
+++ b/crates/decide/src/schedule/report.rs
@@ -1,12 +1,12 @@
-//! What coordinators tell the scheduler about permitted requests.
+//! The coordinators' reports on permitted requests.
 
 use trefoildyke_types::id;
 
 use crate::schedule;
 
-/// Reports one step in a request's life after its permit.
+/// A report on the progress of a request.
 ///
-/// Reports may come twice, late or never; a report about an unknown request changes nothing.
+/// Reports may arrive twice, late or never; a report on an unknown request has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Report {
@@ -15,33 +15,33 @@
         /// The request.
         key: id::RequestKey,
     },
-    /// The first token of the answer came.
+    /// The first token of the answer arrived.
     FirstToken {
         /// The request.
         key: id::RequestKey,
     },
-    /// More tokens of the answer came.
+    /// More tokens of the answer arrived.
     Progress {
         /// The request.
         key: id::RequestKey,
-        /// All tokens so far.
+        /// The total number of tokens so far.
         tokens: u32,
     },
     /// The request left the endpoint.
     Finished {
         /// The request.
         key: id::RequestKey,
-        /// All tokens of the answer.
+        /// The total number of tokens of the answer.
         tokens: u32,
         /// How it ended.
         outcome: schedule::Outcome,
     },
-    /// The permit was not used and will not be.
+    /// The permit was not used and will not be used.
     HandBack {
         /// The request.
         key: id::RequestKey,
     },
-    /// The coordinator no longer wants the request, waiting or not.
+    /// The coordinator no longer needs the request, whether it is waiting or permitted.
     Cancel {
         /// The request.
         key: id::RequestKey,
@@ -49,7 +49,7 @@
 }
 
 impl Report {
-    /// Returns the request that the report is about.
+    /// Returns the key of the request that the report is about.
     pub const fn key(&self) -> &id::RequestKey {
         match self {
             Self::Started { key }
--- a/crates/decide/src/schedule/shard/asks.rs
+++ b/crates/decide/src/schedule/shard/asks.rs
@@ -1,4 +1,4 @@
-//! How asks and adopted work are taken in.
+//! Handling of asks and of adopted requests.
 
 use std::time;
 
@@ -6,8 +6,8 @@
 
 use crate::schedule::{self, permitted, prefix, queue};
 
-/// The part of the expected answer that is surely still to be generated when a request starts.
-const SURE_PART: f64 = 0.6;
+/// The share of the expected answer that surely must be generated after the request starts.
+const CERTAIN_PART: f64 = 0.6;
 
 impl schedule::Shard {
     pub(super) fn ask(
@@ -16,33 +16,33 @@
         ask: request::Ask,
         outputs: &mut Vec<schedule::Output>,
     ) {
-        if self.ask_again(now, &ask, outputs) {
+        if self.handle_repeat(now, &ask, outputs) {
             return;
         }
         if ask.left_ms == 0 {
-            outputs.push(self.refuse_late(&ask.key));
+            outputs.push(self.refuse_expired(&ask.key));
             return;
         }
         if !self.make_room(now, &ask, outputs) {
             return;
         }
-        let waiting = self.describe(now, ask);
+        let waiting = self.new_waiting(now, ask);
         if self.is_infeasible(now, &waiting) {
             outputs.push(self.refuse_infeasible(&waiting.ask.key));
             return;
         }
-        if self.is_hopeless(now, &waiting, self.params.shed_margin) {
+        if self.would_be_late(now, &waiting, self.params.shed_margin) {
             self.refuse_new(now, &waiting, outputs);
             return;
         }
-        self.flow.arrive(now, waiting.ask.rank, waiting.cost);
+        self.work_rates.record_arrival(now, waiting.ask.rank, waiting.cost);
         let weight = self.weight(&waiting.ask.key.account);
         self.queue.push(waiting, weight);
-        self.is_changed = true;
+        self.may_grant = true;
     }
 
-    /// Answers an ask for a request that is known; says whether it was one.
-    fn ask_again(
+    /// Handles an ask for a request that is already known, and returns whether it is.
+    fn handle_repeat(
         &mut self,
         now: Timestamp,
         ask: &request::Ask,
@@ -57,63 +57,65 @@
         let Some(permitted) = self.permitted.get(&ask.key) else { return false };
         let endpoint = self.fleet.get(permitted.endpoint);
         let is_usable = endpoint.is_some_and(|endpoint| !endpoint.leaving);
-        if permitted.sent().is_none() && !is_usable {
-            self.hand_back(now, &ask.key);
+        if permitted.dispatched_at().is_none() && !is_usable {
+            self.return_permit(now, &ask.key);
             return false;
         }
         outputs.push(schedule::Output::Grant(permitted.permit.clone()));
         true
     }
 
-    /// Describes a request to the queue.
-    fn describe(&self, now: Timestamp, mut ask: request::Ask) -> queue::Waiting {
+    /// Creates the queue entry of a request, with the estimates of its work.
+    fn new_waiting(&self, now: Timestamp, mut ask: request::Ask) -> queue::Waiting {
         let checkpoints = prefix::checkpoints(&std::mem::take(&mut ask.prefix));
         let matches = self.index.matches(&checkpoints);
-        let expected = self.lengths.expect(&ask.key.account, ask.rank, ask.max_tokens);
+        let expected_tokens = self.lengths.predict(&ask.key.account, ask.rank, ask.max_tokens);
         let deadline = now + time::Duration::from_millis(ask.left_ms);
-        let mut service = f64::INFINITY;
-        let mut uncached = ask.prompt_tokens;
-        let mut prefill = f64::INFINITY;
-        for (number, endpoint) in self.fleet.iter() {
-            let left = ask.prompt_tokens.saturating_sub(matches.get(number));
-            let length = endpoint.rates.prefill(left);
-            let decode = expected * SURE_PART * endpoint.rates.step();
-            uncached = uncached.min(left);
-            prefill = prefill.min(length);
-            service = service.min(length + decode);
+        let mut min_service = f64::INFINITY;
+        let mut min_uncached = ask.prompt_tokens;
+        let mut min_prefill = f64::INFINITY;
+        for (index, endpoint) in self.fleet.iter() {
+            let uncached = ask.prompt_tokens.saturating_sub(matches.get(index));
+            let prefill_time = endpoint.speed.prefill_time(uncached);
+            let decode = expected_tokens * CERTAIN_PART * endpoint.speed.step_time();
+            min_uncached = min_uncached.min(uncached);
+            min_prefill = min_prefill.min(prefill_time);
+            min_service = min_service.min(prefill_time + decode);
         }
-        // An idle pool tries every request: else a wrong estimate could refuse all for good.
-        let is_known = service.is_finite() && !self.permitted.is_empty();
-        let service = if is_known { service } else { 0.0 };
-        let start = time::Duration::from_millis(ask.left_ms)
-            .saturating_sub(time::Duration::from_secs_f64(service));
+        // An idle pool tries every request. Otherwise a wrong estimate could refuse all requests
+        // forever.
+        let is_known = min_service.is_finite() && !self.permitted.is_empty();
+        let min_service = if is_known { min_service } else { 0.0 };
+        let max_wait = time::Duration::from_millis(ask.left_ms)
+            .saturating_sub(time::Duration::from_secs_f64(min_service));
         queue::Waiting {
-            cost: self.flow.cost(uncached, expected),
-            is_long: prefill.is_finite() && prefill >= self.params.long_prefill.as_secs_f64(),
-            latest: now + start,
+            cost: self.work_rates.cost(min_uncached, expected_tokens),
+            is_long: min_prefill.is_finite()
+                && min_prefill >= self.params.long_prefill.as_secs_f64(),
+            latest_start: now + max_wait,
             ask,
             checkpoints,
             deadline,
-            service,
-            expected,
-            held: None,
+            min_service,
+            expected_tokens,
+            held_since: None,
         }
     }
 
     pub(super) fn adopt(&mut self, now: Timestamp, adopted: schedule::Adopted) {
         let schedule::Adopted { mut ask, endpoint, tokens } = adopted;
-        let Some(number) = self.fleet.number(&endpoint) else { return };
+        let Some(index) = self.fleet.index_of(&endpoint) else { return };
         if let Some(permitted) = self.permitted.get_mut(&ask.key) {
-            // Another daemon has taken over the answer.
+            // Another daemon has taken over the request.
             permitted.coordinator = ask.coordinator;
             return;
         }
-        if let Some(waiting) = self.queue.number(&ask.key) {
-            self.queue.take(waiting);
+        if let Some(number) = self.queue.number(&ask.key) {
+            self.queue.take(number);
         }
         let checkpoints = prefix::checkpoints(&std::mem::take(&mut ask.prefix));
         let phase = if tokens == 0 {
-            permitted::Phase::Sent(now)
+            permitted::Phase::Dispatched(now)
         } else {
             permitted::Phase::Streaming(now)
         };
@@ -122,7 +124,7 @@
         let permitted = permitted::Permitted {
             permit,
             coordinator: ask.coordinator,
-            endpoint: number,
+            endpoint: index,
             rank: ask.rank,
             checkpoints,
             cost: 0.0,
@@ -130,10 +132,10 @@
             is_long: false,
             max_tokens: ask.max_tokens,
             tokens,
-            heard: now,
+            last_report_at: now,
             phase,
         };
-        self.enter(now, permitted);
+        self.track_permitted(now, permitted);
     }
 
     pub(super) fn permit(
--- a/crates/decide/src/schedule/shard/grants.rs
+++ b/crates/decide/src/schedule/shard/grants.rs
@@ -1,21 +1,21 @@
-//! How waiting requests are granted.
+//! Granting of waiting requests.
 
 use trefoildyke_types::time::Timestamp;
 
 use crate::schedule::{self, permitted, queue, shard::place};
 
-/// How many accounts, and requests of each, are looked at for one grant.
-const ACCOUNTS: usize = 4;
-const EACH: usize = 4;
+/// The number of accounts, and of requests of each account, that are considered for one grant.
+const CANDIDATE_ACCOUNTS: usize = 4;
+const REQUESTS_EACH: usize = 4;
 
 impl schedule::Shard {
-    /// Grants what can be granted, in tier order.
+    /// Grants all requests that can be granted, in tier order.
     ///
-    /// Nothing is granted past a waiting higher tier, or while a higher one that was shed could
-    /// still have waited.
+    /// Nothing is granted while a request of a higher tier waits, or while a shed request of a
+    /// higher tier could still have been waiting.
     pub(super) fn grant(&mut self, now: Timestamp, outputs: &mut Vec<schedule::Output>) {
         self.hold_end = None;
-        let mut candidates = Vec::with_capacity(ACCOUNTS * EACH);
+        let mut candidates = Vec::with_capacity(CANDIDATE_ACCOUNTS * REQUESTS_EACH);
         while let Some(rank) = self.queue.top_rank() {
             if self.closed_until(now, rank).is_some() {
                 return;
@@ -24,64 +24,70 @@
                 return;
             }
             candidates.clear();
-            let has_room = self.has_long_room();
-            self.queue.next(rank, ACCOUNTS, EACH, has_room, &mut candidates);
-            if !self.grant_one(now, &candidates, has_room, outputs) {
+            let allow_long = self.may_start_long();
+            self.queue.candidates(
+                rank,
+                CANDIDATE_ACCOUNTS,
+                REQUESTS_EACH,
+                allow_long,
+                &mut candidates,
+            );
+            if !self.grant_first(now, &candidates, allow_long, outputs) {
                 return;
             }
         }
     }
 
-    /// Grants the first candidate that has a place now; says whether there was one.
-    fn grant_one(
+    /// Grants the first candidate that can be placed now, and returns whether there was one.
+    fn grant_first(
         &mut self,
         now: Timestamp,
         candidates: &[u64],
-        has_room: bool,
+        allow_long: bool,
         outputs: &mut Vec<schedule::Output>,
     ) -> bool {
         for &number in candidates {
-            match self.place(now, number, has_room) {
-                place::Place::Now(choice) => {
+            match self.place(now, number, allow_long) {
+                place::Placement::Now(choice) => {
                     let Some(waiting) = self.queue.take(number) else { continue };
-                    outputs.push(self.enter_choice(now, waiting, &choice));
+                    outputs.push(self.grant_choice(now, waiting, &choice));
                     return true;
                 }
-                place::Place::Hold(until) => {
+                place::Placement::Hold(until) => {
                     let end = self.hold_end.map_or(until, |end| end.min(until));
                     self.hold_end = Some(end);
                 }
-                place::Place::Blocked => {}
+                place::Placement::Blocked => {}
             }
         }
         false
     }
 
-    /// Says whether one more endpoint may process a long prompt.
-    pub(super) fn has_long_room(&self) -> bool {
+    /// Returns whether one more endpoint may process a long prompt.
+    pub(super) fn may_start_long(&self) -> bool {
         let (mut usable, mut busy) = (0_u32, 0_u32);
         for (_, endpoint) in self.fleet.iter().filter(|(_, endpoint)| endpoint.is_usable()) {
             usable += 1;
-            busy += u32::from(endpoint.long > 0);
+            busy += u32::from(endpoint.long_prompts > 0);
         }
         let limit = (f64::from(usable) * self.params.long_share).floor().max(1.0);
         f64::from(busy) < limit
     }
 
-    fn enter_choice(
+    fn grant_choice(
         &mut self,
         now: Timestamp,
         waiting: queue::Waiting,
         choice: &place::Choice,
     ) -> schedule::Output {
-        let queue::Waiting { ask, checkpoints, expected, .. } = waiting;
-        let cost = self.flow.cost(choice.uncached, expected);
+        let queue::Waiting { ask, checkpoints, expected_tokens, .. } = waiting;
+        let cost = self.work_rates.cost(choice.uncached, expected_tokens);
         self.queue.charge(ask.rank, &ask.key.account, cost, true);
         let cached = ask.prompt_tokens - choice.uncached;
         let permit = self.permit(&ask, choice.name.clone(), cached);
-        let lapse = now + self.params.permit_ttl.saturating_add(self.params.permit_ttl / 2);
-        self.lapses.insert((lapse, ask.key));
-        self.enter(
+        let expiry = now + self.params.permit_ttl.saturating_add(self.params.permit_ttl / 2);
+        self.permit_expiries.insert((expiry, ask.key));
+        self.track_permitted(
             now,
             permitted::Permitted {
                 permit: permit.clone(),
@@ -94,23 +100,23 @@
                 is_long: choice.is_long,
                 max_tokens: ask.max_tokens,
                 tokens: 0,
-                heard: now,
-                phase: permitted::Phase::Granted(lapse),
+                last_report_at: now,
+                phase: permitted::Phase::Granted(expiry),
             },
         );
         schedule::Output::Grant(permit)
     }
 
-    /// Accounts for a request at its endpoint.
-    pub(super) fn enter(&mut self, now: Timestamp, permitted: permitted::Permitted) {
+    /// Records a permitted request at its endpoint.
+    pub(super) fn track_permitted(&mut self, now: Timestamp, permitted: permitted::Permitted) {
         if let Some(endpoint) = self.fleet.get_mut(permitted.endpoint) {
-            endpoint.permit(now, permitted.prefill, permitted.is_long);
+            endpoint.admit(now, permitted.prefill, permitted.is_long);
             endpoint.streaming += u32::from(permitted.is_streaming());
         }
         if permitted.is_streaming() {
-            self.index.confirm(permitted.endpoint, &permitted.checkpoints);
+            self.index.mark_ready(permitted.endpoint, &permitted.checkpoints);
         } else {
-            self.index.place(permitted.endpoint, &permitted.checkpoints);
+            self.index.insert_pending(permitted.endpoint, &permitted.checkpoints);
         }
         self.permitted.insert(permitted.key().clone(), permitted);
     }
--- a/crates/decide/src/schedule/shard/mod.rs
+++ b/crates/decide/src/schedule/shard/mod.rs
@@ -1,19 +1,19 @@
 //! The scheduler of one pool shard.
 
 mod asks;
+mod endpoints;
 mod grants;
 mod place;
 mod reports;
 mod shed;
-mod watch;
 
 use std::{collections, time};
 
 use trefoildyke_types::{id, time::Timestamp};
 
-use crate::schedule::{self, fleet, flow, lengths, permitted, prefix, queue};
+use crate::schedule::{self, fleet, lengths, permitted, prefix, queue, work_rates};
 
-/// Decides order and place of one pool shard's requests.
+/// Decides the order and the endpoints of one pool shard's requests.
 ///
 /// A request is either waiting, permitted or unknown. Requests are granted in tier order, then by
 /// fair share among client accounts, then by deadline.
@@ -49,29 +49,29 @@
     scheduler: id::Incarnation,
     queue: queue::Queue,
     permitted: collections::HashMap<id::RequestKey, permitted::Permitted>,
-    /// When unused permits lapse.
-    lapses: collections::BTreeSet<(Timestamp, id::RequestKey)>,
+    /// When unused permits expire.
+    permit_expiries: collections::BTreeSet<(Timestamp, id::RequestKey)>,
     fleet: fleet::Fleet,
     index: prefix::Index,
     shares: collections::HashMap<id::AccountName, schedule::AccountShare>,
     lengths: lengths::Lengths,
-    flow: flow::Flow,
-    /// When the endpoints' health is looked at next.
-    check: Timestamp,
-    /// By rank, the latest deadline of the requests that were shed.
+    work_rates: work_rates::WorkRates,
+    /// When the endpoints' health is checked next.
+    next_check: Timestamp,
+    /// The latest deadline of the requests that were shed, by rank.
     ///
-    /// Up to and at that time no lower tier is granted anything, which keeps `TierOrder`.
+    /// Up to and including that time no lower tier is granted anything, which ensures `TierOrder`.
     shed_until: collections::BTreeMap<u8, Timestamp>,
     /// When the first hold of a request ends.
     hold_end: Option<Timestamp>,
-    /// Whether something happened that may let a request be granted.
-    is_changed: bool,
-    /// The wake-up that was asked for last.
-    wake: Option<Timestamp>,
+    /// Whether an event may allow another request to be granted.
+    may_grant: bool,
+    /// The last wake-up that was requested.
+    next_wake: Option<Timestamp>,
 }
 
 impl Shard {
-    /// Creates the scheduler of a shard with no endpoints and nothing waiting.
+    /// Creates the scheduler of a shard without endpoints and waiting requests.
     ///
     /// `scheduler` is the incarnation of the daemon that runs it.
     pub fn new(params: schedule::Params, scheduler: id::Incarnation) -> Self {
@@ -80,50 +80,50 @@
             scheduler,
             queue: queue::Queue::default(),
             permitted: collections::HashMap::new(),
-            lapses: collections::BTreeSet::new(),
+            permit_expiries: collections::BTreeSet::new(),
             fleet: fleet::Fleet::default(),
             index: prefix::Index::new(),
             shares: collections::HashMap::new(),
             lengths: lengths::Lengths::new(),
-            flow: flow::Flow::new(),
-            check: Timestamp::ZERO,
+            work_rates: work_rates::WorkRates::new(),
+            next_check: Timestamp::ZERO,
             shed_until: collections::BTreeMap::new(),
             hold_end: None,
-            is_changed: false,
-            wake: None,
+            may_grant: false,
+            next_wake: None,
         }
     }
 
-    /// Takes in one event at time `now` and returns what is to be done, in order.
+    /// Handles one event at time `now` and returns the actions to carry out, in order.
     ///
-    /// `now` must not go back. Every request in the queue whose deadline can no longer be met at
-    /// `now` is refused in the same step, whatever the event.
+    /// `now` must not decrease. Every waiting request whose deadline can no longer be met at `now`
+    /// is refused in the same step, whatever the event.
     pub fn step(&mut self, now: Timestamp, input: schedule::Input) -> Vec<schedule::Output> {
         let mut outputs = Vec::new();
-        self.flow.advance(now, !self.queue.is_empty(), &self.fleet);
-        self.take_in(now, input, &mut outputs);
-        self.lapse(now);
-        self.watch(now, &mut outputs);
-        self.shed_late(now, &mut outputs);
-        if std::mem::take(&mut self.is_changed) {
+        self.work_rates.advance(now, !self.queue.is_empty(), &self.fleet);
+        self.handle(now, input, &mut outputs);
+        self.expire_permits(now);
+        self.check_health(now, &mut outputs);
+        self.shed_expired(now, &mut outputs);
+        if std::mem::take(&mut self.may_grant) {
             self.grant(now, &mut outputs);
-            self.shed_hopeless(now, &mut outputs);
+            self.shed_late(now, &mut outputs);
         }
         self.plan_wake(now, &mut outputs);
         outputs
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns how many permitted requests have not ended.
+    /// Returns the number of permitted requests that have not ended.
     pub fn permitted(&self) -> usize {
         self.permitted.len()
     }
 
-    fn take_in(
+    fn handle(
         &mut self,
         now: Timestamp,
         input: schedule::Input,
@@ -144,7 +144,7 @@
             schedule::Input::Account(share) => {
                 self.shares.insert(share.account.clone(), share);
             }
-            schedule::Input::Tick => self.is_changed = true,
+            schedule::Input::Tick => self.may_grant = true,
         }
     }
 
@@ -153,16 +153,17 @@
     }
 
     fn plan_wake(&mut self, now: Timestamp, outputs: &mut Vec<schedule::Output>) {
-        let latest = self.queue.first_latest().map(|(latest, _)| latest);
-        let lapse = self.lapses.first().map(|(lapse, _)| *lapse);
-        let check = (!self.permitted.is_empty() || self.is_any_suspended()).then_some(self.check);
+        let start = self.queue.first_latest_start().map(|(start, _)| start);
+        let expiry = self.permit_expiries.first().map(|(expiry, _)| *expiry);
+        let check =
+            (!self.permitted.is_empty() || self.is_any_suspended()).then_some(self.next_check);
         let held = self.hold_end.filter(|_| !self.queue.is_empty());
         let closed = self.queue.top_rank().and_then(|rank| self.closed_until(now, rank));
         let closed = closed.map(|until| until + time::Duration::from_micros(1));
-        let wake = [latest, lapse, check, held, closed].into_iter().flatten().min();
-        let passed = self.wake.is_some_and(|wake| wake <= now);
-        if wake != self.wake || passed {
-            self.wake = wake;
+        let wake = [start, expiry, check, held, closed].into_iter().flatten().min();
+        let passed = self.next_wake.is_some_and(|wake| wake <= now);
+        if wake != self.next_wake || passed {
+            self.next_wake = wake;
             outputs.extend(wake.map(schedule::Output::WakeAt));
         }
     }
--- a/crates/decide/src/schedule/shard/reports.rs
+++ b/crates/decide/src/schedule/shard/reports.rs
@@ -1,4 +1,4 @@
-//! How reports on permitted requests are taken in.
+//! Handling of reports on permitted requests.
 
 use trefoildyke_types::{id, time::Timestamp};
 
@@ -13,66 +13,66 @@
             schedule::Report::Finished { key, tokens, outcome } => {
                 self.finished(now, key, *tokens, *outcome);
             }
-            schedule::Report::HandBack { key } => self.hand_back(now, key),
+            schedule::Report::HandBack { key } => self.return_permit(now, key),
             schedule::Report::Cancel { key } => {
                 if let Some(number) = self.queue.number(key) {
                     self.queue.take(number);
                 }
-                self.hand_back(now, key);
+                self.return_permit(now, key);
             }
         }
     }
 
     fn started(&mut self, now: Timestamp, key: &id::RequestKey) {
         let Some(permitted) = self.permitted.get_mut(key) else { return };
-        if let permitted::Phase::Granted(lapse) = permitted.phase {
-            permitted.phase = permitted::Phase::Sent(now);
-            permitted.heard = now;
-            self.lapses.remove(&(lapse, key.clone()));
+        if let permitted::Phase::Granted(expiry) = permitted.phase {
+            permitted.phase = permitted::Phase::Dispatched(now);
+            permitted.last_report_at = now;
+            self.permit_expiries.remove(&(expiry, key.clone()));
         }
     }
 
-    /// Takes in that an answer has `tokens` tokens by now.
+    /// Records that an answer has `tokens` tokens by now.
     fn progress(&mut self, now: Timestamp, key: &id::RequestKey, tokens: u32) {
         self.started(now, key);
         let Some(permitted) = self.permitted.get_mut(key) else { return };
         if tokens <= permitted.tokens {
             return;
         }
-        if let permitted::Phase::Sent(sent) = permitted.phase {
-            self.first_token(now, key, sent);
+        if let permitted::Phase::Dispatched(dispatched) = permitted.phase {
+            self.first_token(now, key, dispatched);
         }
-        self.tokens(now, key, tokens);
+        self.record_tokens(now, key, tokens);
     }
 
-    fn first_token(&mut self, now: Timestamp, key: &id::RequestKey, sent: Timestamp) {
+    fn first_token(&mut self, now: Timestamp, key: &id::RequestKey, dispatched: Timestamp) {
         let Some(permitted) = self.permitted.get_mut(key) else { return };
         let prefill = std::mem::take(&mut permitted.prefill);
-        permitted.phase = permitted::Phase::Streaming(sent);
+        permitted.phase = permitted::Phase::Streaming(dispatched);
         permitted.tokens = 1;
-        permitted.heard = now;
+        permitted.last_report_at = now;
         if let Some(endpoint) = self.fleet.get_mut(permitted.endpoint) {
-            endpoint.first_token(now, sent, prefill);
-            endpoint.drop_prefill(now, prefill, permitted.is_long);
+            endpoint.first_token(now, dispatched, prefill);
+            endpoint.remove_prefill(now, prefill, permitted.is_long);
         }
         permitted.is_long = false;
-        self.index.confirm(permitted.endpoint, &permitted.checkpoints);
-        self.flow.serve(self.flow.cost(prefill, 1.0));
-        self.is_changed = true;
+        self.index.mark_ready(permitted.endpoint, &permitted.checkpoints);
+        self.work_rates.record_served(self.work_rates.cost(prefill, 1.0));
+        self.may_grant = true;
     }
 
-    fn tokens(&mut self, now: Timestamp, key: &id::RequestKey, tokens: u32) {
+    fn record_tokens(&mut self, now: Timestamp, key: &id::RequestKey, tokens: u32) {
         let Some(permitted) = self.permitted.get_mut(key) else { return };
         let more = tokens.saturating_sub(permitted.tokens);
-        let seconds = now.since(permitted.heard).as_secs_f64();
+        let seconds = now.since(permitted.last_report_at).as_secs_f64();
         permitted.tokens = permitted.tokens.max(tokens);
-        permitted.heard = now;
+        permitted.last_report_at = now;
         let Some(endpoint) = self.fleet.get_mut(permitted.endpoint) else { return };
         if more > 0 && seconds > 0.0 {
             endpoint.observe_step(more, seconds);
         }
-        endpoint.heard(now);
-        self.flow.serve(f64::from(more));
+        endpoint.record_report(now);
+        self.work_rates.record_served(f64::from(more));
     }
 
     fn finished(
@@ -89,59 +89,61 @@
         }
         let account = &key.account;
         let limit = permitted.max_tokens;
-        let expected = self.lengths.expect(account, permitted.rank, limit);
+        let expected = self.lengths.predict(account, permitted.rank, limit);
         self.lengths.observe(account, permitted.rank, limit, tokens);
-        // The account pays for what it was given, not for what was expected.
+        // The account is charged for the tokens it received, not for the expected number.
         let more = f64::from(tokens) - expected;
         if permitted.cost > 0.0 {
             self.queue.charge(permitted.rank, account, more.max(-permitted.cost), false);
         }
     }
 
-    /// Takes back a permit that was or will be of no use.
-    pub(super) fn hand_back(&mut self, now: Timestamp, key: &id::RequestKey) {
+    /// Releases a permit that is not or no longer used, and refunds its cost unless tokens have
+    /// been generated.
+    pub(super) fn return_permit(&mut self, now: Timestamp, key: &id::RequestKey) {
         let Some(permitted) = self.release(now, key) else { return };
         if !permitted.is_streaming() {
             self.queue.charge(permitted.rank, &key.account, -permitted.cost, false);
         }
     }
 
-    /// Takes a request off its endpoint.
+    /// Removes a permitted request from its endpoint.
     fn release(&mut self, now: Timestamp, key: &id::RequestKey) -> Option<permitted::Permitted> {
         let permitted = self.permitted.remove(key)?;
-        if let permitted::Phase::Granted(lapse) = permitted.phase {
-            self.lapses.remove(&(lapse, key.clone()));
+        if let permitted::Phase::Granted(expiry) = permitted.phase {
+            self.permit_expiries.remove(&(expiry, key.clone()));
         }
         if !permitted.is_streaming() {
-            self.index.withdraw(permitted.endpoint, &permitted.checkpoints);
+            self.index.remove_pending(permitted.endpoint, &permitted.checkpoints);
         }
         if let Some(endpoint) = self.fleet.get_mut(permitted.endpoint) {
-            endpoint.release(now, permitted.sent(), permitted.is_streaming());
+            endpoint.release(now, permitted.dispatched_at(), permitted.is_streaming());
             if !permitted.is_streaming() {
-                endpoint.drop_prefill(now, permitted.prefill, permitted.is_long);
+                endpoint.remove_prefill(now, permitted.prefill, permitted.is_long);
             }
         }
-        self.is_changed = true;
+        self.may_grant = true;
         Some(permitted)
     }
 
-    /// Lets go of all that a lost coordinator was permitted, since nobody will report its end.
+    /// Releases all permitted requests of a lost coordinator, since nobody will report their end.
     pub(super) fn coordinator_lost(&mut self, now: Timestamp, lost: id::Incarnation) {
-        let its_own = self.permitted.iter().filter(|(_, permitted)| permitted.coordinator == lost);
-        let keys: Vec<_> = its_own.map(|(key, _)| key.clone()).collect();
+        let lost_requests =
+            self.permitted.iter().filter(|(_, permitted)| permitted.coordinator == lost);
+        let keys: Vec<_> = lost_requests.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.release(now, &key);
         }
     }
 
-    /// Takes back the permits whose dispatch was not reported in time.
-    pub(super) fn lapse(&mut self, now: Timestamp) {
-        while let Some((lapse, key)) = self.lapses.first().cloned() {
-            if lapse > now {
+    /// Releases the permits whose dispatch was not reported in time.
+    pub(super) fn expire_permits(&mut self, now: Timestamp) {
+        while let Some((expiry, key)) = self.permit_expiries.first().cloned() {
+            if expiry > now {
                 return;
             }
-            self.lapses.remove(&(lapse, key.clone()));
-            self.hand_back(now, &key);
+            self.permit_expiries.remove(&(expiry, key.clone()));
+            self.return_permit(now, &key);
         }
     }
 }
--- a/crates/decide/src/schedule/shard/shed.rs
+++ b/crates/decide/src/schedule/shard/shed.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused, and when to come back.
+//! Refusal of requests, and the retry-after times of refusals.
 
 use std::time;
 
@@ -6,64 +6,67 @@
 
 use crate::schedule::{self, queue};
 
-/// The shortest retry-after that a refusal names.
-const RETRY_LEAST: time::Duration = time::Duration::from_millis(100);
+/// The shortest retry-after time in a refusal.
+const MIN_RETRY_AFTER: time::Duration = time::Duration::from_millis(100);
 
-/// How many times the time left the least service must take for a request to be infeasible.
-const INFEASIBLE: f64 = 1.5;
+/// A request is infeasible if its minimum service time exceeds this many times the time left.
+const INFEASIBLE_RATIO: f64 = 1.5;
 
-/// How many waiting requests are given up at most in one step because the outlook got worse.
-const HOPELESS_STEP: usize = 4;
+/// The maximum number of waiting requests that one step sheds because their predicted wait became
+/// too long.
+const MAX_SHED_LATE: usize = 4;
 
 impl schedule::Shard {
-    /// Says whether a request that is not in the queue could not be finished in time.
+    /// Returns whether a request that is not in the queue is predicted to miss its deadline.
     ///
-    /// `margin` is the part of the time left that wait and service may fill.
-    pub(super) fn is_hopeless(
+    /// `margin` is the share of the time until the latest useful start that the wait may take.
+    pub(super) fn would_be_late(
         &self,
         now: Timestamp,
         waiting: &queue::Waiting,
         margin: f64,
     ) -> bool {
         let wait = self.predicted_wait(now, waiting, 0.0);
-        wait > 0.0 && wait > self.slack(now, waiting) * margin
+        wait > 0.0 && wait > self.max_wait(now, waiting) * margin
     }
 
-    /// Says whether no endpoint could finish the request in time even if it had nothing else to do.
+    /// Returns whether no endpoint could finish the request in time even if it were idle.
     pub(super) fn is_infeasible(&self, now: Timestamp, waiting: &queue::Waiting) -> bool {
-        waiting.service > waiting.deadline.since(now).as_secs_f64() * INFEASIBLE
+        waiting.min_service > waiting.deadline.since(now).as_secs_f64() * INFEASIBLE_RATIO
     }
 
     /// Returns how long the request may wait, in seconds.
-    fn slack(&self, now: Timestamp, waiting: &queue::Waiting) -> f64 {
-        waiting.latest.since(now).as_secs_f64()
+    fn max_wait(&self, now: Timestamp, waiting: &queue::Waiting) -> f64 {
+        waiting.latest_start.since(now).as_secs_f64()
     }
 
-    /// Returns how long a request would wait behind what is in the queue, in seconds.
+    /// Returns the predicted wait of a request behind the queued work, in seconds.
     ///
-    /// `own` is the part of the queued work that is the request's own. Without any endpoint there
-    /// is nothing to predict from, and the wait counts as 0.
-    fn predicted_wait(&self, now: Timestamp, waiting: &queue::Waiting, own: f64) -> f64 {
+    /// `own_work` is the request's own share of the queued work. Without endpoints there is no
+    /// basis for a prediction, and the wait for the queued work counts as 0.
+    fn predicted_wait(&self, now: Timestamp, waiting: &queue::Waiting, own_work: f64) -> f64 {
         let (rank, account) = (waiting.ask.rank, &waiting.ask.key.account);
         let closed = self.closed_until(now, rank);
         let closed = closed.map_or(0.0, |until| until.since(now).as_secs_f64());
-        let Some(rate) = self.flow.rate(now, rank) else { return closed };
+        let Some(rate) = self.work_rates.available_rate(now, rank) else { return closed };
         let weight = self.weight(account);
-        let cost = waiting.cost - own;
-        let tier = self.queue.work_ahead(rank, account, weight, cost) - own;
+        let cost = waiting.cost - own_work;
+        let tier = self.queue.work_ahead(rank, account, weight, cost) - own_work;
         let ahead = self.queue.work_above(rank) + tier.max(0.0);
         closed.max(ahead / rate)
     }
 
-    /// Returns until when requests that tiers above `rank` have shed could still have waited.
+    /// Returns the time until which requests that tiers above `rank` have shed could still have
+    /// been waiting.
     ///
-    /// Up to and at that time nothing of `rank` is granted: it would be admitted after a higher tier was shed.
+    /// Up to and including that time no request of tier `rank` is granted, since it would be
+    /// admitted after a request of a higher tier was shed.
     pub(super) fn closed_until(&self, now: Timestamp, rank: u8) -> Option<Timestamp> {
         let above = self.shed_until.range(..rank).map(|(_, until)| *until);
         above.max().filter(|until| *until >= now)
     }
 
-    /// Refuses a request that is not in the queue, after all of lower tiers.
+    /// Refuses a request that is not in the queue, after all waiting requests of lower tiers.
     pub(super) fn refuse_new(
         &mut self,
         now: Timestamp,
@@ -77,23 +80,23 @@
         self.refuse(now, waiting, outputs);
     }
 
-    /// Refuses every request that can no longer be finished in time.
-    pub(super) fn shed_late(&mut self, now: Timestamp, outputs: &mut Vec<schedule::Output>) {
-        while let Some((latest, number)) = self.queue.first_latest() {
-            if latest > now {
+    /// Refuses every waiting request that can no longer be finished in time.
+    pub(super) fn shed_expired(&mut self, now: Timestamp, outputs: &mut Vec<schedule::Output>) {
+        while let Some((start, number)) = self.queue.first_latest_start() {
+            if start > now {
                 return;
             }
             self.shed(now, number, outputs);
         }
     }
 
-    /// Refuses the newest requests of the lowest tier that will not be reached in time.
-    pub(super) fn shed_hopeless(&mut self, now: Timestamp, outputs: &mut Vec<schedule::Output>) {
-        for _ in 0..HOPELESS_STEP {
+    /// Refuses the newest requests of the lowest tier that are predicted to wait too long.
+    pub(super) fn shed_late(&mut self, now: Timestamp, outputs: &mut Vec<schedule::Output>) {
+        for _ in 0..MAX_SHED_LATE {
             let Some(number) = self.queue.newest_of_lowest() else { return };
             let Some(waiting) = self.queue.get(number) else { return };
             let wait = self.predicted_wait(now, waiting, waiting.cost);
-            if wait <= self.slack(now, waiting) {
+            if wait <= self.max_wait(now, waiting) {
                 return;
             }
             self.shed(now, number, outputs);
@@ -107,9 +110,11 @@
         }
     }
 
-    /// Makes room for a request of an account with a limit; refuses the request if there is none.
+    /// Makes room for a request of an account that may have reached its limit, or refuses the
+    /// request.
     ///
-    /// A request takes the place of one of a lower tier of the same account.
+    /// A request replaces the newest one of a lower tier of the same account. Returns whether there
+    /// is room.
     pub(super) fn make_room(
         &mut self,
         now: Timestamp,
@@ -142,7 +147,7 @@
         let until = self.shed_until.entry(waiting.ask.rank).or_default();
         *until = waiting.deadline.max(*until);
         let wait = self.predicted_wait(now, waiting, 0.0);
-        let over = (wait - self.slack(now, waiting)).max(0.0);
+        let over = (wait - self.max_wait(now, waiting)).max(0.0);
         let refusal = request::Refusal::new(
             request::RefusalKind::NotRun,
             "shed",
@@ -159,12 +164,12 @@
             "account_limit",
             "the client account has as many requests waiting as it may; send fewer at a time",
         );
-        let seconds = self.flow.rate(now, rank).map_or(0.0, |rate| wait / rate);
+        let seconds = self.work_rates.available_rate(now, rank).map_or(0.0, |rate| wait / rate);
         let refusal = refusal.retry_after(self.retry_ms(seconds));
         schedule::Output::Shed { key: key.clone(), refusal }
     }
 
-    pub(super) fn refuse_late(&self, key: &id::RequestKey) -> schedule::Output {
+    pub(super) fn refuse_expired(&self, key: &id::RequestKey) -> schedule::Output {
         let refusal = request::Refusal::new(
             request::RefusalKind::NotRun,
             "deadline_passed",
@@ -190,6 +195,6 @@
 
     fn retry_ms(&self, seconds: f64) -> u64 {
         let wait = time::Duration::try_from_secs_f64(seconds).unwrap_or(self.params.retry_limit);
-        wait.min(self.params.retry_limit).max(RETRY_LEAST).as_millis() as u64
+        wait.min(self.params.retry_limit).max(MIN_RETRY_AFTER).as_millis() as u64
     }
 }
