--- a/crates/decide/benches/schedule.rs
+++ b/crates/decide/benches/schedule.rs
@@ -1,8 +1,8 @@
-//! The cost of one scheduling decision against the number of waiting requests.
+//! The cost of one scheduling decision by the number of waiting requests.
 //!
-//! `cargo bench -p trefoildyke-decide --bench schedule` measures, at 32 busy endpoints, one ask
+//! `cargo bench -p trefoildyke-decide --bench schedule` measures, with 32 busy endpoints, one ask
 //! that must wait, one completion that grants another request, and that request's first token. The
-//! printed time covers a round of these three steps.
+//! printed time covers all three steps.
 
 #![allow(missing_docs, reason = "the macros of criterion make undocumented items")]
 
@@ -17,20 +17,20 @@
 const ACCOUNTS: u64 = 20;
 const PREFIXES: u64 = 50;
 
-/// Keeps a shard full: every completion is followed by an ask.
-struct Load {
+/// A load generator that keeps a shard full: every completion is followed by an ask.
+struct LoadGenerator {
     shard: schedule::Shard,
     now: Timestamp,
-    next: u64,
+    next_number: u64,
     /// The permitted requests in the order of their permits.
     running: std::collections::VecDeque<id::RequestKey>,
 }
 
-impl Load {
+impl LoadGenerator {
     fn new(waiting: usize) -> Self {
         let shard = schedule::Shard::new(schedule::Params::default(), id::Incarnation::from_u64(1));
         let running = std::collections::VecDeque::new();
-        let mut load = Self { shard, now: Timestamp::ZERO, next: 0, running };
+        let mut load = Self { shard, now: Timestamp::ZERO, next_number: 0, running };
         for number in 0..ENDPOINTS {
             let endpoint = format!("engine-{number}").as_str().into();
             let info = schedule::EndpointInfo { endpoint, slots: SLOTS, cache_tokens: 64 * 1_024 };
@@ -41,7 +41,7 @@
             load.ask();
             load.now = load.now + time::Duration::from_micros(200);
             load.progress();
-            assert!(load.next < 1_000_000, "the endpoints never got busy");
+            assert!(load.next_number < 1_000_000, "the endpoints never got busy");
         }
         load
     }
@@ -51,15 +51,15 @@
             if let schedule::Output::Grant(permit) = output {
                 let key = permit.key;
                 self.running.push_back(key.clone());
-                // The first token comes with the dispatch, so that prompts hold nothing up.
+                // The first token arrives with the dispatch, so that prompts delay nothing.
                 self.step(schedule::Input::Report(schedule::Report::FirstToken { key }));
             }
         }
     }
 
     fn ask(&mut self) {
-        self.next += 1;
-        let number = self.next;
+        self.next_number += 1;
+        let number = self.next_number;
         let account = format!("account-{}", number % ACCOUNTS);
         let uuid = 0x0192_d3a4_0000_7000_8000_0000_0000_0000 | u128::from(number);
         let id = id::RequestId::chosen(uuid::Uuid::from_u128(uuid));
@@ -76,11 +76,11 @@
         self.step(schedule::Input::Ask(ask));
     }
 
-    /// Gives the oldest request one more token and makes it the newest.
+    /// Reports more tokens of the oldest request and makes it the newest.
     fn progress(&mut self) {
         let Some(key) = self.running.pop_front() else { return };
         self.running.push_back(key.clone());
-        let tokens = self.next as u32;
+        let tokens = self.next_number as u32;
         self.step(schedule::Input::Report(schedule::Report::Progress { key, tokens }));
     }
 
@@ -91,7 +91,7 @@
         self.step(schedule::Input::Report(report));
     }
 
-    /// One ask that waits, one completion that grants another request, and its first token.
+    /// Runs one ask that waits, one completion that grants another request, and its first token.
     fn round(&mut self) {
         self.now = self.now + time::Duration::from_micros(500);
         self.ask();
@@ -102,7 +102,7 @@
 fn decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("ask_and_finish");
     for waiting in [10, 100, 1_000, 10_000, 40_000] {
-        let mut load = Load::new(waiting);
+        let mut load = LoadGenerator::new(waiting);
         group.bench_with_input(BenchmarkId::from_parameter(waiting), &waiting, |bencher, _| {
             bencher.iter(|| load.round());
         });
--- a/crates/decide/src/endpoints/mod.rs
+++ b/crates/decide/src/endpoints/mod.rs
@@ -1,11 +1,11 @@
-//! Which endpoints of a pool shard get work.
+//! Availability of a pool shard's endpoints.
 //!
-//! [`Standings`] combines what the configuration, the platform's host list and the endpoints
-//! themselves say, and tells the shard's scheduler what changed. `docs/design/endpoints.md` tells
-//! which ways were weighed and how long a change takes.
+//! [`Standings`] combines the configuration, the platform's host list and the endpoints' answers,
+//! and tells the shard's scheduler about changes. `docs/design/endpoints.md` describes the
+//! alternatives that were considered and how long a change takes.
 
+mod endpoint_state;
 mod hosts;
-mod known;
 mod params;
 mod shard_of;
 mod standings;
--- a/crates/decide/src/endpoints/params.rs
+++ b/crates/decide/src/endpoints/params.rs
@@ -1,18 +1,20 @@
-//! Settings of the standings.
+//! Settings for the availability of endpoints.
 
 use std::time;
 
-/// Holds the times after which an endpoint's standing changes.
+/// The times after which an endpoint's availability changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Params {
     /// How long an endpoint may leave calls unanswered before it gets no new work; 3 s.
     pub unreachable_after: time::Duration,
-    /// How long a new or paused scheduler waits for the platform's list before it goes on without; 2 s.
+    /// How long a new or paused scheduler waits for the platform's list before it continues without
+    /// it; 2 s.
     pub list_wait: time::Duration,
-    /// The longest time between two calls that does not count as a pause of this process; 1 s.
+    /// The longest time between two method calls that does not count as a pause of this process; 1
+    /// s.
     pub pause_limit: time::Duration,
-    /// How long an endpoint that was deleted stays known for the work it still has; 60 s.
+    /// How long a deleted endpoint is kept, for the work that it still has; 60 s.
     pub forget_after: time::Duration,
 }
 
--- a/crates/decide/src/endpoints/standings.rs
+++ b/crates/decide/src/endpoints/standings.rs
@@ -1,21 +1,23 @@
-//! What a pool shard's scheduler must know of its endpoints.
+//! The availability of a pool shard's endpoints, as reported to its scheduler.
 
 use std::{collections, sync};
 
 use trefoildyke_types::{id, resource, time::Timestamp};
 
-use crate::{config, endpoints, endpoints::known, schedule};
+use crate::{config, endpoints, endpoints::endpoint_state, schedule};
 
 /// Decides which endpoints of one pool shard get new work.
 ///
-/// An endpoint gets new work if the configuration names it and no planned stop holds it, the
-/// platform's list does not show its host as leaving or gone, and it has answered lately. A host
-/// that the list has never named yet does not count as gone, because the list lags. An endpoint
-/// counts as having answered when it becomes known, so that a new scheduler can go on at once; but
-/// nothing gets work before the list was read, or could not be for a while. The same holds after a
-/// pause of this process, during which everything may have changed unseen.
+/// An endpoint gets new work if the configuration contains it and no planned stop holds it, the
+/// platform's list does not show its host as leaving or gone, and it has answered recently. A host
+/// that the list has never contained does not count as gone, because the list lags behind.
 ///
-/// Each method returns what the scheduler must be told, in order.
+/// A new endpoint counts as having answered, so that a new scheduler can continue at once. But no
+/// endpoint gets work before the list was read, or [`endpoints::Params::list_wait`] has passed
+/// without a reading. The same holds after a pause of this process, since everything may have
+/// changed during it.
+///
+/// Each method that handles an event returns the inputs for the scheduler, in order.
 ///
 /// ```
 /// use trefoildyke_decide::{config, endpoints};
@@ -23,77 +25,78 @@
 ///
 /// let params = endpoints::Params::default();
 /// let mut standings = endpoints::Standings::new("drafting".into(), 0, params);
-/// let told = standings.configure(Timestamp::ZERO, &config::Snapshot::default());
-/// assert!(told.is_empty());
+/// let inputs = standings.configure(Timestamp::ZERO, &config::Snapshot::default());
+/// assert!(inputs.is_empty());
 /// ```
 #[derive(Clone, Debug)]
 pub struct Standings {
     pool: id::PoolName,
     shard: u16,
     params: endpoints::Params,
-    /// When the standings were first called, or called again after a pause.
+    /// When the first call came, or the first call after a pause.
     since: Option<Timestamp>,
-    /// When they were called last.
-    called: Timestamp,
-    /// The last reading of the platform's list; none that was begun before `since`.
+    /// When the last call came.
+    last_call: Timestamp,
+    /// The last reading of the platform's list; `None` until a reading that began at or after
+    /// `since` arrives.
     hosts: Option<sync::Arc<endpoints::Hosts>>,
-    known: collections::BTreeMap<id::EndpointName, known::Known>,
+    endpoints: collections::BTreeMap<id::EndpointName, endpoint_state::EndpointState>,
 }
 
 impl Standings {
-    /// Creates the standings of one shard of a pool, without endpoints.
+    /// Creates the state of one shard of a pool, without endpoints.
     pub fn new(pool: id::PoolName, shard: u16, params: endpoints::Params) -> Self {
         Self {
             pool,
             shard,
             params,
             since: None,
-            called: Timestamp::ZERO,
+            last_call: Timestamp::ZERO,
             hosts: None,
-            known: collections::BTreeMap::new(),
+            endpoints: collections::BTreeMap::new(),
         }
     }
 
-    /// Returns the endpoints that are to be asked for their load, with their descriptions.
+    /// Returns the endpoints that must be asked for their load, with their descriptions.
     ///
-    /// That includes those that get no new work but still have some.
+    /// This includes those that get no new work but still have some.
     pub fn watched(&self) -> impl Iterator<Item = (&id::EndpointName, &resource::EndpointSpec)> {
-        self.known.iter().map(|(name, known)| (name, &known.spec))
+        self.endpoints.iter().map(|(name, state)| (name, &state.spec))
     }
 
-    /// Takes in a version of the configuration.
+    /// Applies a version of the configuration.
     pub fn configure(
         &mut self,
         now: Timestamp,
         snapshot: &config::Snapshot,
     ) -> Vec<schedule::Input> {
-        let mut inputs = self.notice_pause(now);
+        let mut inputs = self.detect_pause(now);
         let shards = snapshot.pool(&self.pool).map_or(0, |pool| pool.shards);
-        let mut missing: collections::BTreeSet<_> = self.known.keys().cloned().collect();
+        let mut missing: collections::BTreeSet<_> = self.endpoints.keys().cloned().collect();
         for name in snapshot.endpoints_of(&self.pool) {
             let Some(spec) = snapshot.endpoint(name) else { continue };
             if endpoints::shard_of(name, shards) == self.shard {
                 missing.remove(name);
-                self.describe(now, name, spec, snapshot.stops_endpoint(name));
+                self.update_endpoint(now, name, spec, snapshot.stops_endpoint(name));
             }
         }
         for name in missing {
-            if let Some(known) = self.known.get_mut(&name) {
-                known.deleted.get_or_insert(now);
+            if let Some(state) = self.endpoints.get_mut(&name) {
+                state.deleted.get_or_insert(now);
             }
         }
         inputs.extend(self.review(now));
         inputs
     }
 
-    /// Takes in a reading of the platform's list that was begun at `begun`.
+    /// Applies a reading of the platform's list that was started at `begun`.
     pub fn list(
         &mut self,
         now: Timestamp,
         begun: Timestamp,
         hosts: sync::Arc<endpoints::Hosts>,
     ) -> Vec<schedule::Input> {
-        let mut inputs = self.notice_pause(now);
+        let mut inputs = self.detect_pause(now);
         if self.since.is_none_or(|since| begun >= since) || self.hosts.is_some() {
             self.hosts = Some(hosts);
         }
@@ -101,106 +104,107 @@
         inputs
     }
 
-    /// Returns whether it was decided which endpoints get work.
+    /// Returns whether the endpoints that get work have been determined.
     ///
-    /// Before that the scheduler knows of none, which does not mean that there is none.
+    /// Before that the scheduler knows of no endpoint, which does not mean that there is none.
     pub fn is_decided(&self, now: Timestamp) -> bool {
         let waited = self.since.is_some_and(|since| now.since(since) >= self.params.list_wait);
         self.hosts.is_some() || waited
     }
 
-    /// Notes that an endpoint answered a call.
+    /// Records that an endpoint answered a call.
     pub fn answered(&mut self, now: Timestamp, name: &id::EndpointName) -> Vec<schedule::Input> {
-        let mut inputs = self.notice_pause(now);
-        if let Some(known) = self.known.get_mut(name) {
-            known.answered = now;
+        let mut inputs = self.detect_pause(now);
+        if let Some(state) = self.endpoints.get_mut(name) {
+            state.last_answer = now;
         }
         inputs.extend(self.review(now));
         inputs
     }
 
-    /// Looks at what time alone changes; to be called several times a second.
+    /// Updates what changes by the passing of time alone; must be called several times per second.
     pub fn review(&mut self, now: Timestamp) -> Vec<schedule::Input> {
-        let mut inputs = self.notice_pause(now);
+        let mut inputs = self.detect_pause(now);
         if !self.is_decided(now) {
             return inputs;
         }
-        let unread = endpoints::Hosts::default();
-        let hosts = self.hosts.as_deref().unwrap_or(&unread);
-        for (name, known) in &mut self.known {
-            known.was_listed |= hosts.names(&known.spec.host);
-            let told = if known.is_usable(now, hosts, &self.params) {
-                known::Told::Up(known.info(name))
-            } else if known.told == known::Told::Nothing {
+        let no_hosts = endpoints::Hosts::default();
+        let hosts = self.hosts.as_deref().unwrap_or(&no_hosts);
+        for (name, state) in &mut self.endpoints {
+            state.was_listed |= hosts.names(&state.spec.host);
+            let status = if state.is_usable(now, hosts, &self.params) {
+                endpoint_state::SentStatus::Up(state.info(name))
+            } else if state.sent == endpoint_state::SentStatus::Nothing {
                 continue;
             } else {
-                known::Told::Leaving
+                endpoint_state::SentStatus::Leaving
             };
-            if told != known.told {
-                inputs.push(input(name, &told));
-                known.told = told;
+            if status != state.sent {
+                inputs.push(to_input(name, &status));
+                state.sent = status;
             }
         }
-        self.forget(now, &mut inputs);
+        self.remove_deleted(now, &mut inputs);
         inputs
     }
 
-    /// Takes all endpoints out of use if this process was paused until now.
-    fn notice_pause(&mut self, now: Timestamp) -> Vec<schedule::Input> {
-        let was_paused = now.since(self.called) > self.params.pause_limit;
-        self.called = now;
+    /// Takes all endpoints out of use if this is the first call or this process was paused until
+    /// now.
+    fn detect_pause(&mut self, now: Timestamp) -> Vec<schedule::Input> {
+        let was_paused = now.since(self.last_call) > self.params.pause_limit;
+        self.last_call = now;
         if self.since.is_some() && !was_paused {
             return Vec::new();
         }
         self.since = Some(now);
         self.hosts = None;
         let mut inputs = Vec::new();
-        for (name, known) in &mut self.known {
-            known.answered = now;
-            if matches!(known.told, known::Told::Up(_)) {
-                known.told = known::Told::Leaving;
-                inputs.push(input(name, &known.told));
+        for (name, state) in &mut self.endpoints {
+            state.last_answer = now;
+            if matches!(state.sent, endpoint_state::SentStatus::Up(_)) {
+                state.sent = endpoint_state::SentStatus::Leaving;
+                inputs.push(to_input(name, &state.sent));
             }
         }
         inputs
     }
 
-    fn describe(
+    fn update_endpoint(
         &mut self,
         now: Timestamp,
         name: &id::EndpointName,
         spec: &resource::EndpointSpec,
-        stopped: bool,
+        is_stopped: bool,
     ) {
-        let fresh = || known::Known::new(spec.clone(), now);
-        let known = self.known.entry(name.clone()).or_insert_with(fresh);
-        if known.spec.host != spec.host {
-            known.was_listed = false;
+        let new_state = || endpoint_state::EndpointState::new(spec.clone(), now);
+        let state = self.endpoints.entry(name.clone()).or_insert_with(new_state);
+        if state.spec.host != spec.host {
+            state.was_listed = false;
         }
-        if known.spec.address != spec.address {
-            known.answered = now;
+        if state.spec.address != spec.address {
+            state.last_answer = now;
         }
-        known.spec.clone_from(spec);
-        known.stopped = stopped;
-        known.deleted = None;
+        state.spec.clone_from(spec);
+        state.is_stopped = is_stopped;
+        state.deleted = None;
     }
 
-    fn forget(&mut self, now: Timestamp, inputs: &mut Vec<schedule::Input>) {
+    fn remove_deleted(&mut self, now: Timestamp, inputs: &mut Vec<schedule::Input>) {
         let limit = self.params.forget_after;
-        self.known.retain(|name, known| {
-            let over = known.deleted.is_some_and(|at| now.since(at) >= limit);
-            if over && known.told != known::Told::Nothing {
+        self.endpoints.retain(|name, state| {
+            let is_expired = state.deleted.is_some_and(|at| now.since(at) >= limit);
+            if is_expired && state.sent != endpoint_state::SentStatus::Nothing {
                 inputs.push(schedule::Input::EndpointGone(name.clone()));
             }
-            !over
+            !is_expired
         });
     }
 }
 
-fn input(name: &id::EndpointName, told: &known::Told) -> schedule::Input {
-    match told {
-        known::Told::Up(info) => schedule::Input::EndpointUp(info.clone()),
-        known::Told::Nothing | known::Told::Leaving => {
+fn to_input(name: &id::EndpointName, status: &endpoint_state::SentStatus) -> schedule::Input {
+    match status {
+        endpoint_state::SentStatus::Up(info) => schedule::Input::EndpointUp(info.clone()),
+        endpoint_state::SentStatus::Nothing | endpoint_state::SentStatus::Leaving => {
             schedule::Input::EndpointLeaving(name.clone())
         }
     }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,4 +1,5 @@
-//! Pure decisions: state in, event in, actions out.
+//! The decision logic of the daemons, without I/O: state machines that take events and return
+//! actions.
 
 pub mod config;
 pub mod coordinate;
--- a/crates/decide/src/stops/mod.rs
+++ b/crates/decide/src/stops/mod.rs
@@ -1,4 +1,4 @@
-//! Planned stops: when one has ended.
+//! Detection of when planned stops have ended.
 
 mod settled;
 
--- a/crates/decide/src/stops/settled.rs
+++ b/crates/decide/src/stops/settled.rs
@@ -1,27 +1,28 @@
-//! How far the planned stops have ended at one daemon.
+//! The version up to which planned stops have ended at one daemon.
 
 use trefoildyke_types::{id, resource};
 
 use crate::config;
 
-/// Describes the daemon that reports.
+/// The daemon that reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Daemon<'a> {
-    /// Its host.
+    /// The host of the daemon.
     pub host: &'a id::HostName,
-    /// Whether it has any request in progress.
+    /// Whether the daemon has any request in progress.
     pub is_busy: bool,
 }
 
 /// Returns the version up to which every planned stop in the snapshot has ended at this daemon.
 ///
-/// `is_busy` says whether anything is in progress at an endpoint: a request that this daemon has
+/// `is_busy` tells whether an endpoint has work in progress: a request that this daemon has
 /// dispatched, or, at the endpoint's scheduler, work that the endpoint's own load report shows. The
-/// report counts because a coordinator may have died and its request gone on. A scheduler without
-/// a report from after the stop was in force on every live daemon must answer yes.
+/// load report counts because a coordinator may have died while its request continued. A scheduler
+/// must return `true` until it has a load report from after the time at which the stop came into
+/// force on every live daemon.
 ///
-/// Once a stop is in force here nothing new starts at its target, so what has ended stays ended. A
-/// stop has ended when every live daemon reports its version as settled.
+/// Once a stop is in force at this daemon, nothing new starts at its target, so an ended stop stays
+/// ended. A stop has ended for the cluster when every live daemon reports its version as settled.
 pub fn settled(
     snapshot: &config::Snapshot,
     daemon: Daemon<'_>,
@@ -53,7 +54,7 @@
                 _ => false,
             };
             let mut endpoints = snapshot.of_kind(resource::Kind::Endpoint);
-            (daemon.is_busy && daemon.host == host) || endpoints.any(|one| on_host(one))
+            (daemon.is_busy && daemon.host == host) || endpoints.any(|resource| on_host(resource))
         }
     }
 }
--- a/crates/decide/tests/testsuite/endpoints.rs
+++ b/crates/decide/tests/testsuite/endpoints.rs
@@ -1,4 +1,4 @@
-//! Which endpoints get work.
+//! Tests of which endpoints get work.
 
 use std::{sync, time::Duration};
 
@@ -17,15 +17,15 @@
         cache_tokens: 1_024,
         checks_fencing: true,
     };
-    wrap(name, resource::Spec::Endpoint(spec))
+    resource(name, resource::Spec::Endpoint(spec))
 }
 
 fn pool(shards: u16) -> resource::Resource {
     let protocol = resource::PoolProtocol::Engine { model: "llama".into() };
-    wrap(POOL, resource::Spec::EndpointPool(resource::EndpointPoolSpec { protocol, shards }))
+    resource(POOL, resource::Spec::EndpointPool(resource::EndpointPoolSpec { protocol, shards }))
 }
 
-fn wrap(name: &str, spec: resource::Spec) -> resource::Resource {
+fn resource(name: &str, spec: resource::Spec) -> resource::Resource {
     resource::Resource {
         name: name.to_owned(),
         spec,
@@ -37,7 +37,7 @@
 
 fn stop(name: &str) -> resource::Resource {
     let target = resource::StopTarget::Endpoint(name.into());
-    wrap("maintenance", resource::Spec::PlannedStop(resource::PlannedStopSpec { target }))
+    resource("maintenance", resource::Spec::PlannedStop(resource::PlannedStopSpec { target }))
 }
 
 fn hosts(live: &[&str], leaving: &[&str]) -> sync::Arc<endpoints::Hosts> {
@@ -49,25 +49,26 @@
     Timestamp::from_millis(seconds * 1_000)
 }
 
-/// Lets time pass, seen every half second, while `answering` answer, and returns what was told.
-fn pass(
+/// Advances time in steps of half a second, while `answering` answer, and returns the inputs for
+/// the scheduler.
+fn advance(
     standings: &mut endpoints::Standings,
     seconds: std::ops::Range<u64>,
     answering: &[&str],
 ) -> Vec<String> {
-    let mut all = Vec::new();
-    for half in seconds.start * 2 + 1..=seconds.end * 2 {
-        let now = Timestamp::from_millis(half * 500);
+    let mut inputs = Vec::new();
+    for half_second in seconds.start * 2 + 1..=seconds.end * 2 {
+        let now = Timestamp::from_millis(half_second * 500);
         for name in answering {
-            all.extend(told(&standings.answered(now, &(*name).into())));
+            inputs.extend(texts(&standings.answered(now, &(*name).into())));
         }
-        all.extend(told(&standings.review(now)));
+        inputs.extend(texts(&standings.review(now)));
     }
-    all
+    inputs
 }
 
-/// Returns what was told, as `+name`, `-name` or `gone name`.
-fn told(inputs: &[schedule::Input]) -> Vec<String> {
+/// Returns the inputs as text: `+name`, `-name` or `gone name`.
+fn texts(inputs: &[schedule::Input]) -> Vec<String> {
     let text = |input: &schedule::Input| match input {
         schedule::Input::EndpointUp(info) => format!("+{}", info.endpoint),
         schedule::Input::EndpointLeaving(name) => format!("-{name}"),
@@ -77,49 +78,49 @@
     inputs.iter().map(text).collect()
 }
 
-/// Returns standings of two endpoints on two live hosts, both told as up at second 0.
+/// Returns standings of two endpoints on two live hosts, both reported as up at second 0.
 fn two_up() -> (endpoints::Standings, Vec<resource::Resource>) {
     let resources = vec![pool(1), endpoint("e1", "h1"), endpoint("e2", "h2")];
     let mut standings = endpoints::Standings::new(POOL.into(), 0, endpoints::Params::default());
     let snapshot = config::Snapshot::of(1, resources.clone());
     assert!(standings.configure(at(0), &snapshot).is_empty());
-    assert_eq!(told(&standings.list(at(0), at(0), hosts(&["h1", "h2"], &[]))), ["+e1", "+e2"]);
+    assert_eq!(texts(&standings.list(at(0), at(0), hosts(&["h1", "h2"], &[]))), ["+e1", "+e2"]);
     (standings, resources)
 }
 
 #[test]
-fn nothing_gets_work_before_the_list_was_read() {
+fn no_endpoint_gets_work_before_the_list_was_read() {
     let resources = vec![pool(1), endpoint("e1", "h1"), endpoint("e2", "h2")];
     let mut standings = endpoints::Standings::new(POOL.into(), 0, endpoints::Params::default());
     standings.configure(at(0), &config::Snapshot::of(1, resources));
     assert!(standings.review(at(1)).is_empty());
-    assert_eq!(told(&standings.list(at(1), at(1), hosts(&["h1"], &["h2"]))), ["+e1"]);
+    assert_eq!(texts(&standings.list(at(1), at(1), hosts(&["h1"], &["h2"]))), ["+e1"]);
 }
 
 #[test]
-fn without_a_list_work_goes_on_after_a_while() {
+fn without_a_list_work_continues_after_the_wait() {
     let mut standings = endpoints::Standings::new(POOL.into(), 0, endpoints::Params::default());
     let snapshot = config::Snapshot::of(1, vec![pool(1), endpoint("e1", "h1")]);
     standings.configure(at(0), &snapshot);
-    assert_eq!(pass(&mut standings, 0..1, &[]), [""; 0]);
-    assert_eq!(pass(&mut standings, 1..2, &[]), ["+e1"]);
+    assert_eq!(advance(&mut standings, 0..1, &[]), [""; 0]);
+    assert_eq!(advance(&mut standings, 1..2, &[]), ["+e1"]);
 }
 
 #[test]
-fn an_endpoint_on_a_leaving_host_is_told_as_leaving_at_once() {
+fn an_endpoint_on_a_leaving_host_is_leaving_at_once() {
     let (mut standings, _) = two_up();
-    assert_eq!(told(&standings.list(at(1), at(1), hosts(&["h1"], &["h2"]))), ["-e2"]);
+    assert_eq!(texts(&standings.list(at(1), at(1), hosts(&["h1"], &["h2"]))), ["-e2"]);
     assert!(standings.list(at(1), at(1), hosts(&["h1"], &["h2"])).is_empty());
-    assert_eq!(told(&standings.list(at(2), at(2), hosts(&["h1", "h2"], &[]))), ["+e2"]);
+    assert_eq!(texts(&standings.list(at(2), at(2), hosts(&["h1", "h2"], &[]))), ["+e2"]);
 }
 
 #[test]
-fn a_host_that_vanished_has_left_and_one_never_listed_has_not() {
+fn an_unlisted_host_is_gone_only_if_it_was_listed_before() {
     let (mut standings, mut resources) = two_up();
     resources.push(endpoint("e3", "h3"));
     let snapshot = config::Snapshot::of(2, resources);
-    assert_eq!(told(&standings.configure(at(1), &snapshot)), ["+e3"]);
-    assert_eq!(told(&standings.list(at(1), at(1), hosts(&["h1"], &[]))), ["-e2"]);
+    assert_eq!(texts(&standings.configure(at(1), &snapshot)), ["+e3"]);
+    assert_eq!(texts(&standings.list(at(1), at(1), hosts(&["h1"], &[]))), ["-e2"]);
 }
 
 #[test]
@@ -127,41 +128,41 @@
     let (mut standings, mut resources) = two_up();
     resources.push(stop("e1"));
     let stopped = config::Snapshot::of(2, resources.clone());
-    assert_eq!(told(&standings.configure(at(1), &stopped)), ["-e1"]);
+    assert_eq!(texts(&standings.configure(at(1), &stopped)), ["-e1"]);
     resources.pop();
     let again = config::Snapshot::of(3, resources);
-    assert_eq!(told(&standings.configure(at(1), &again)), ["+e1"]);
+    assert_eq!(texts(&standings.configure(at(1), &again)), ["+e1"]);
 }
 
 #[test]
-fn a_deleted_endpoint_stays_known_for_the_work_it_has() {
+fn a_deleted_endpoint_is_kept_for_its_work_in_progress() {
     let (mut standings, mut resources) = two_up();
     resources.pop();
     let without = config::Snapshot::of(2, resources);
-    assert_eq!(told(&standings.configure(at(1), &without)), ["-e2"]);
+    assert_eq!(texts(&standings.configure(at(1), &without)), ["-e2"]);
     assert_eq!(standings.watched().count(), 2);
-    assert_eq!(pass(&mut standings, 1..60, &["e1"]), [""; 0]);
-    assert_eq!(pass(&mut standings, 60..61, &["e1"]), ["gone e2"]);
+    assert_eq!(advance(&mut standings, 1..60, &["e1"]), [""; 0]);
+    assert_eq!(advance(&mut standings, 60..61, &["e1"]), ["gone e2"]);
     assert_eq!(standings.watched().count(), 1);
 }
 
 #[test]
-fn an_endpoint_that_does_not_answer_gets_nothing_until_it_does() {
+fn an_endpoint_that_does_not_answer_gets_no_work_until_it_does() {
     let (mut standings, _) = two_up();
-    assert_eq!(pass(&mut standings, 0..2, &["e1"]), [""; 0]);
-    assert_eq!(pass(&mut standings, 2..3, &["e1"]), ["-e2"]);
-    assert_eq!(told(&standings.answered(at(4), &"e2".into())), ["+e2"]);
+    assert_eq!(advance(&mut standings, 0..2, &["e1"]), [""; 0]);
+    assert_eq!(advance(&mut standings, 2..3, &["e1"]), ["-e2"]);
+    assert_eq!(texts(&standings.answered(at(4), &"e2".into())), ["+e2"]);
 }
 
 #[test]
-fn after_a_pause_nothing_gets_work_before_a_new_reading() {
+fn after_a_pause_no_endpoint_gets_work_before_a_new_reading() {
     let (mut standings, _) = two_up();
-    // The first call after the pause may be any; here an endpoint's answer comes first.
-    assert_eq!(told(&standings.answered(at(9), &"e1".into())), ["-e1", "-e2"]);
-    // A reading begun before the pause shows the past.
+    // Any call may be the first after the pause; here it is an endpoint's answer.
+    assert_eq!(texts(&standings.answered(at(9), &"e1".into())), ["-e1", "-e2"]);
+    // A reading started before the pause is out of date.
     let list = hosts(&["h1", "h2"], &[]);
     assert!(standings.list(at(9), at(1), list).is_empty());
-    assert_eq!(told(&standings.list(at(10), at(9), hosts(&["h1"], &["h2"]))), ["+e1"]);
+    assert_eq!(texts(&standings.list(at(10), at(9), hosts(&["h1"], &["h2"]))), ["+e1"]);
 }
 
 #[test]
@@ -180,12 +181,12 @@
 }
 
 #[test]
-fn a_changed_description_is_told_again() {
+fn a_changed_description_is_sent_again() {
     let (mut standings, mut resources) = two_up();
     let resource::Spec::Endpoint(spec) = &mut resources[1].spec else { panic!() };
     spec.slots = 4;
     let changed = config::Snapshot::of(2, resources);
-    assert_eq!(told(&standings.configure(at(1), &changed)), ["+e1"]);
+    assert_eq!(texts(&standings.configure(at(1), &changed)), ["+e1"]);
     let later = Duration::from_millis(100);
     assert!(standings.review(at(1) + later).is_empty());
 }
--- a/crates/decide/tests/testsuite/main.rs
+++ b/crates/decide/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions.
+//! Tests of the decision logic.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests unwrap as tests do")]
 
--- a/crates/decide/tests/testsuite/members/mod.rs
+++ b/crates/decide/tests/testsuite/members/mod.rs
@@ -1,3 +1,3 @@
-//! Membership.
+//! Tests of the membership.
 
 mod view;
--- a/crates/decide/tests/testsuite/members/view.rs
+++ b/crates/decide/tests/testsuite/members/view.rs
@@ -1,4 +1,4 @@
-//! Who takes a soft role.
+//! Tests of which member takes a soft role.
 
 use std::collections;
 
--- a/crates/decide/tests/testsuite/schedule_basics.rs
+++ b/crates/decide/tests/testsuite/schedule_basics.rs
@@ -1,4 +1,4 @@
-//! The scheduler's plain behaviour: order, place, repeated and late inputs.
+//! Tests of the scheduler's basic behaviour: order, placement, repeated and late inputs.
 
 use trefoildyke_decide::schedule;
 use trefoildyke_types::id;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn asking_again_while_waiting_keeps_one_place() {
+fn asking_again_while_waiting_adds_no_second_request() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.ask(ask(2, 0));
@@ -45,28 +45,28 @@
 }
 
 #[test]
-fn unused_permit_lapses_and_frees_its_slot() {
+fn unused_permit_expires_and_frees_its_slot() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.ask(ask(2, 0));
-    assert_eq!(granted(&driver.pass(2_000).tick()), []);
-    assert_eq!(granted(&driver.pass(1_000).tick()), [key(2)]);
+    assert_eq!(granted(&driver.advance(2_000).tick()), []);
+    assert_eq!(granted(&driver.advance(1_000).tick()), [key(2)]);
 }
 
 #[test]
-fn dispatched_request_does_not_lapse() {
+fn dispatched_request_does_not_expire() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.started(&key(1));
-    driver.pass(100).first_token(&key(1));
+    driver.advance(100).first_token(&key(1));
     driver.ask(ask(2, 0));
     for tokens in 2..40 {
-        assert_eq!(granted(&driver.pass(100).progress(&key(1), tokens)), []);
+        assert_eq!(granted(&driver.advance(100).progress(&key(1), tokens)), []);
     }
 }
 
 #[test]
-fn permit_handed_back_is_granted_to_the_next() {
+fn returned_permit_grants_the_next_request() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.ask(ask(2, 0));
@@ -88,16 +88,16 @@
 }
 
 #[test]
-fn progress_alone_tells_of_start_and_first_token() {
+fn progress_implies_start_and_first_token() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
-    driver.pass(100).progress(&key(1), 3);
-    driver.pass(10_000).tick();
+    driver.advance(100).progress(&key(1), 3);
+    driver.advance(10_000).tick();
     assert_eq!(driver.shard.permitted(), 1);
 }
 
 #[test]
-fn leaving_endpoint_gets_nothing() {
+fn leaving_endpoint_gets_no_requests() {
     let mut driver = Driver::new(2, 4);
     driver.step(schedule::Input::EndpointLeaving("e0".into()));
     for number in 0..4 {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn endpoint_that_comes_back_starts_empty() {
+fn endpoint_that_returns_starts_empty() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.step(schedule::Input::EndpointGone("e0".into()));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn adopted_work_takes_its_slot() {
+fn adopted_request_occupies_a_slot() {
     let mut driver = Driver::new(1, 1);
     let adopted = schedule::Adopted { ask: ask(1, 0), endpoint: "e0".into(), tokens: 0 };
     driver.step(schedule::Input::Adopt(adopted.clone()));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn waiting_request_is_refused_when_it_can_not_be_finished() {
+fn waiting_request_is_refused_when_it_cannot_finish_in_time() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.started(&key(1));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn account_limit_keeps_the_higher_tiers() {
+fn account_limit_sheds_the_lowest_tier_first() {
     let mut driver = Driver::new(1, 1);
     let share =
         schedule::AccountShare { account: "office".into(), weight: 1, max_waiting: Some(2) };
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_lost_coordinators_places_are_free_again() {
+fn a_lost_coordinators_slots_become_free() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.started(&key(1));
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn an_answer_that_another_daemon_follows_keeps_its_place() {
+fn a_request_taken_over_by_another_daemon_keeps_its_slot() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.started(&key(1));
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn senseless_settings_do_no_harm() {
+fn extreme_settings_are_tolerated() {
     let params = schedule::Params {
         step_time: std::time::Duration::ZERO,
         prefill_rate: 0.0,
@@ -220,8 +220,8 @@
     };
     let mut driver = Driver::with(params, 1, 1);
     assert_eq!(granted(&driver.ask(ask(1, 0))), [key(1)]);
-    driver.pass(10).first_token(&key(1));
-    driver.pass(100).finished(&key(1), 10);
+    driver.advance(10).first_token(&key(1));
+    driver.advance(100).finished(&key(1), 10);
     driver.ask(ask(2, 0));
     driver.run(30_000);
     assert_eq!(driver.shard.waiting(), 0);
--- a/crates/decide/tests/testsuite/schedule_order.rs
+++ b/crates/decide/tests/testsuite/schedule_order.rs
@@ -1,4 +1,4 @@
-//! `TierOrder` and `FinalAtOnce` under arbitrary inputs.
+//! Property tests of `TierOrder` and `FinalAtOnce` under arbitrary inputs.
 
 use std::collections;
 
@@ -8,7 +8,7 @@
 
 use crate::schedule_support::{Driver, key_of};
 
-/// One thing that happens to the scheduler.
+/// An event that the scheduler must handle.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Ask {
@@ -19,7 +19,7 @@
         left_ms: u64,
         prefix: u8,
     },
-    /// The permitted request at this position, counted around, gets so many tokens.
+    /// The permitted request at this index, modulo their number, reaches this number of tokens.
     Progress(usize, u32),
     Finish(usize),
     HandBack(usize),
@@ -27,7 +27,7 @@
     Leaving(u8),
     Gone(u8),
     Up(u8),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -49,21 +49,21 @@
         1 => (0..3_u8).prop_map(Event::Leaving),
         1 => (0..3_u8).prop_map(Event::Gone),
         2 => (0..3_u8).prop_map(Event::Up),
-        6 => (1..2_000_u64).prop_map(Event::Pass),
+        6 => (1..2_000_u64).prop_map(Event::Advance),
     ]
 }
 
-/// Follows what the scheduler answered.
-struct Follower {
+/// A model of the requests that checks the scheduler's outputs.
+struct Model {
     driver: Driver,
     number: u64,
     waiting: collections::BTreeMap<id::RequestKey, (u8, time::Timestamp)>,
     permitted: Vec<id::RequestKey>,
-    /// The requests that were shed: their tier and their deadline.
+    /// The requests that were shed, by tier and deadline.
     shed: Vec<(u8, time::Timestamp)>,
 }
 
-impl Follower {
+impl Model {
     fn new() -> Self {
         Self {
             driver: Driver::new(2, 2),
@@ -121,13 +121,13 @@
                 self.driver.step(schedule::Input::EndpointGone(name))
             }
             Event::Up(number) => self.driver.up(&format!("e{number}"), 2),
-            Event::Pass(millis) => return self.pass(millis),
+            Event::Advance(millis) => return self.advance(millis),
         };
         self.check(&outputs);
     }
 
-    /// Lets time pass, waking the scheduler whenever it asked for it.
-    fn pass(&mut self, millis: u64) {
+    /// Advances time and wakes the scheduler whenever it asked for it.
+    fn advance(&mut self, millis: u64) {
         let end = self.driver.now + std::time::Duration::from_millis(millis);
         while let Some(outputs) = self.driver.wake_before(end) {
             self.check(&outputs);
@@ -146,7 +146,8 @@
         assert_eq!(self.driver.shard.waiting(), self.waiting.len());
     }
 
-    /// Nothing is granted past a waiting request of a higher tier.
+    /// Checks that no request of a higher tier waits, or was shed and could still have been
+    /// waiting.
     fn check_grant(&mut self, key: &id::RequestKey) {
         let (rank, _) = self.waiting.remove(key).expect("only a waiting request is granted");
         let higher = self.waiting.values().filter(|(other, _)| *other < rank);
@@ -157,7 +158,7 @@
         self.permitted.push(key.clone());
     }
 
-    /// Nothing is shed while a request of a lower tier waits.
+    /// Checks that no request of a lower tier waits when one is shed.
     fn check_shed(&mut self, key: &id::RequestKey, refusal: &request::Refusal) {
         let (rank, deadline) = self.waiting.remove(key).expect("only a waiting request is shed");
         assert_eq!(refusal.kind, request::RefusalKind::NotRun);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Nothing waits past its deadline.
+    /// Checks that no request waits past its deadline.
     fn check_final(&self) {
         let now = self.driver.now;
         let late = self.waiting.values().filter(|(_, deadline)| *deadline <= now);
@@ -182,9 +183,9 @@
 
     #[test]
     fn tier_order_and_final_at_once_hold(events in collection::vec(event(), 1..250)) {
-        let mut follower = Follower::new();
+        let mut model = Model::new();
         for event in events {
-            follower.apply(event);
+            model.apply(event);
         }
     }
 }
--- a/crates/decide/tests/testsuite/schedule_place.rs
+++ b/crates/decide/tests/testsuite/schedule_place.rs
@@ -1,4 +1,4 @@
-//! Where the scheduler places requests: learned speeds, prefixes, long prompts, faults.
+//! Tests of the scheduler's placement: learned speeds, prefixes, long prompts, faults.
 
 use std::collections;
 
@@ -16,19 +16,19 @@
     ask
 }
 
-/// Runs a request with 50 tokens at 10 ms each, or `slow` times that on endpoint `e0`.
+/// Runs a request with 50 tokens at 10 ms per token, or `slow` times that on endpoint `e0`.
 fn run(driver: &mut Driver, number: u64, slow: u64) -> id::EndpointName {
     let permit = permits(&driver.ask(ask(number, 0))).pop().unwrap();
     let gap = if permit.endpoint.as_str() == "e0" { 10 * slow } else { 10 };
     driver.started(&permit.key);
-    driver.pass(gap).first_token(&permit.key);
-    driver.pass(gap * 49).progress(&permit.key, 50);
+    driver.advance(gap).first_token(&permit.key);
+    driver.advance(gap * 49).progress(&permit.key, 50);
     driver.finished(&permit.key, 50);
     permit.endpoint
 }
 
 #[test]
-fn slow_endpoint_is_learned_and_avoided() {
+fn slow_endpoint_is_detected_and_avoided() {
     let mut driver = Driver::new(2, 4);
     let mut counts = collections::BTreeMap::<String, u32>::new();
     for number in 0..40 {
@@ -39,24 +39,24 @@
 }
 
 #[test]
-fn request_goes_where_its_prefix_is() {
+fn request_goes_to_the_endpoint_with_its_prefix() {
     let mut driver = Driver::new(4, 4);
-    let home = permits(&driver.ask(with_prefix(1, 7)))[0].clone();
-    assert_eq!(home.cached_tokens, 0);
+    let first = permits(&driver.ask(with_prefix(1, 7)))[0].clone();
+    assert_eq!(first.cached_tokens, 0);
     driver.started(&key(1));
-    driver.pass(100).first_token(&key(1));
+    driver.advance(100).first_token(&key(1));
     driver.ask(with_prefix(2, 8));
-    let again = permits(&driver.pass(10).ask(with_prefix(3, 7)))[0].clone();
-    assert_eq!(again.endpoint, home.endpoint);
+    let again = permits(&driver.advance(10).ask(with_prefix(3, 7)))[0].clone();
+    assert_eq!(again.endpoint, first.endpoint);
     assert!(again.cached_tokens > PROMPT * 3 / 4, "{}", again.cached_tokens);
 }
 
 #[test]
-fn evicted_prefix_is_not_counted_on() {
+fn evicted_prefix_does_not_count_as_cached() {
     let mut driver = Driver::new(2, 4);
-    let home = permits(&driver.ask(with_prefix(1, 7)))[0].endpoint.clone();
+    let first = permits(&driver.ask(with_prefix(1, 7)))[0].endpoint.clone();
     driver.started(&key(1));
-    driver.pass(100).first_token(&key(1));
+    driver.advance(100).first_token(&key(1));
     let prefix = with_prefix(1, 7).prefix;
     let events = prefix.iter().enumerate().map(|(seq, block)| engine::CacheEvent {
         seq: seq as u64 + 1,
@@ -64,26 +64,26 @@
         block: *block,
     });
     let events = events.collect();
-    driver.step(schedule::Input::Cache { endpoint: home, events });
+    driver.step(schedule::Input::Cache { endpoint: first, events });
     assert_eq!(permits(&driver.ask(with_prefix(2, 7)))[0].cached_tokens, 0);
 }
 
 #[test]
 fn request_waits_for_a_prefix_that_is_being_processed() {
     let mut driver = Driver::new(2, 4);
-    let home = permits(&driver.ask(with_prefix(1, 7)))[0].endpoint.clone();
+    let first = permits(&driver.ask(with_prefix(1, 7)))[0].endpoint.clone();
     driver.started(&key(1));
     assert_eq!(granted(&driver.ask(with_prefix(2, 7))), []);
-    let permit = permits(&driver.pass(80).first_token(&key(1)))[0].clone();
-    assert_eq!((permit.key, permit.endpoint), (key(2), home));
+    let permit = permits(&driver.advance(80).first_token(&key(1)))[0].clone();
+    assert_eq!((permit.key, permit.endpoint), (key(2), first));
 }
 
 #[test]
-fn affinity_yields_to_a_busy_endpoint() {
+fn prefix_affinity_waits_for_a_busy_endpoint_only_briefly() {
     let mut driver = Driver::new(2, 1);
-    let home = permits(&driver.ask(with_prefix(1, 7)))[0].endpoint.clone();
+    let first = permits(&driver.ask(with_prefix(1, 7)))[0].endpoint.clone();
     driver.started(&key(1));
-    driver.pass(80).first_token(&key(1));
+    driver.advance(80).first_token(&key(1));
     driver.ask(with_prefix(2, 7));
     let mut tokens = 1;
     let mut found = Vec::new();
@@ -93,26 +93,26 @@
         found.extend(permits(&driver.progress(&key(1), tokens)));
     }
     let permit = found.pop().expect("held for a bounded time only");
-    assert_ne!(permit.endpoint, home);
+    assert_ne!(permit.endpoint, first);
 }
 
 #[test]
-fn questions_avoid_the_endpoint_with_a_long_prompt() {
+fn short_prompts_avoid_the_endpoint_with_a_long_prompt() {
     let mut driver = Driver::new(2, 8);
     let mut long = ask(1, 0);
     long.prompt_tokens = 30_000;
     let busy = permits(&driver.ask(long))[0].endpoint.clone();
     driver.started(&key(1));
     for number in 2..9 {
-        let permit = permits(&driver.pass(20).ask(ask(number, 0)))[0].clone();
+        let permit = permits(&driver.advance(20).ask(ask(number, 0)))[0].clone();
         assert_ne!(permit.endpoint, busy);
         driver.started(&permit.key);
-        driver.pass(10).first_token(&permit.key);
+        driver.advance(10).first_token(&permit.key);
     }
 }
 
 #[test]
-fn long_prompts_leave_an_endpoint_for_questions() {
+fn long_prompts_leave_an_endpoint_for_short_prompts() {
     let mut driver = Driver::new(2, 8);
     for number in 1..4 {
         let mut long = ask(number, 0);
@@ -124,11 +124,11 @@
 }
 
 #[test]
-fn silent_endpoint_gets_nothing_until_it_is_heard() {
+fn silent_endpoint_gets_no_requests_until_it_reports() {
     let mut driver = Driver::new(1, 4);
     driver.ask(ask(1, 0));
     driver.started(&key(1));
-    driver.pass(20).first_token(&key(1));
+    driver.advance(20).first_token(&key(1));
     let outputs = driver.run(6_000);
     let probe = schedule::Output::Probe("e0".into());
     assert!(outputs.contains(&probe), "{outputs:?}");
@@ -142,7 +142,7 @@
     let mut driver = Driver::new(1, 4);
     driver.ask(ask(1, 0));
     driver.started(&key(1));
-    driver.pass(20).first_token(&key(1));
+    driver.advance(20).first_token(&key(1));
     driver.run(6_000);
     driver.ask(ask(2, 0));
     for _ in 0..3 {
@@ -155,20 +155,20 @@
 }
 
 #[test]
-fn foreign_work_takes_slots() {
+fn external_requests_occupy_slots() {
     let mut driver = Driver::new(1, 4);
     let report = engine::LoadReport { running: 4, step_us: 8_000, ..Default::default() };
     let as_of = driver.now;
     driver.step(schedule::Input::Load { endpoint: "e0".into(), as_of, report });
     assert_eq!(granted(&driver.ask(ask(1, 0))), []);
     let idle = engine::LoadReport::default();
-    let as_of = driver.pass(500).now;
+    let as_of = driver.advance(500).now;
     driver.step(schedule::Input::Load { endpoint: "e0".into(), as_of, report: idle });
     assert_eq!(granted(&driver.tick()), [key(1)]);
 }
 
 #[test]
-fn flooding_account_does_not_push_a_quiet_one_out() {
+fn flooding_account_does_not_starve_another() {
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(0, 0));
     for number in 1..60 {
@@ -184,7 +184,7 @@
         asked.key = key_of("quiet", number);
         asked.left_ms = 1_000_000;
         driver.ask(asked);
-        driver.pass(50);
+        driver.advance(50);
         running = granted(&driver.finished(&running, 10)).pop().unwrap();
         quiet += u32::from(running.account.as_str() == "quiet");
     }
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn time_may_start_anywhere() {
+fn first_time_may_be_any() {
     for start in [0, 1, 1_000_000_000_000] {
         let mut driver = Driver::new(1, 1);
         driver.now = time::Timestamp::from_micros(start);
--- a/crates/decide/tests/testsuite/schedule_support.rs
+++ b/crates/decide/tests/testsuite/schedule_support.rs
@@ -27,10 +27,10 @@
     }
 }
 
-/// More wake-ups than any test's time can need.
+/// An upper bound on the wake-ups that any test needs.
 const MAX_TICKS: u32 = 20_000;
 
-/// Drives a scheduler and keeps what it put out.
+/// Drives a scheduler in virtual time and keeps its requested wake-up.
 pub(crate) struct Driver {
     pub(crate) shard: schedule::Shard,
     pub(crate) now: time::Timestamp,
@@ -44,7 +44,7 @@
         Self::with(schedule::Params::default(), endpoints, slots)
     }
 
-    /// As [`Driver::new`], with these settings.
+    /// Creates a scheduler like [`Driver::new`], with the given settings.
     pub(crate) fn with(params: schedule::Params, endpoints: u32, slots: u32) -> Self {
         let shard = schedule::Shard::new(params, id::Incarnation::from_u64(9));
         let mut driver = Self { shard, now: time::Timestamp::ZERO, wake: None, ticks: 0 };
@@ -54,8 +54,8 @@
         driver
     }
 
-    /// Moves time on.
-    pub(crate) fn pass(&mut self, millis: u64) -> &mut Self {
+    /// Advances time without waking the scheduler.
+    pub(crate) fn advance(&mut self, millis: u64) -> &mut Self {
         self.now = self.now + std::time::Duration::from_millis(millis);
         self
     }
@@ -70,7 +70,7 @@
         outputs
     }
 
-    /// Moves on to the next wake-up before `end` and carries it out, or else to `end`.
+    /// Advances to the next wake-up up to `end` and carries it out, or else to `end`.
     pub(crate) fn wake_before(&mut self, end: time::Timestamp) -> Option<Vec<schedule::Output>> {
         let wake = self.wake.take_if(|wake| *wake <= end);
         self.now = wake.unwrap_or(end).max(self.now);
@@ -80,7 +80,7 @@
         Some(self.tick())
     }
 
-    /// Lets time pass, waking the scheduler whenever it asked for it.
+    /// Advances time and wakes the scheduler whenever it asked for it.
     pub(crate) fn run(&mut self, millis: u64) -> Vec<schedule::Output> {
         let end = self.now + std::time::Duration::from_millis(millis);
         let mut outputs = Vec::new();
@@ -134,7 +134,7 @@
     permits.collect()
 }
 
-/// Returns the requests that the outputs permit.
+/// Returns the requests that the outputs grant.
 pub(crate) fn granted(outputs: &[schedule::Output]) -> Vec<id::RequestKey> {
     permits(outputs).into_iter().map(|permit| permit.key).collect()
 }
--- a/crates/decide/tests/testsuite/stops.rs
+++ b/crates/decide/tests/testsuite/stops.rs
@@ -1,4 +1,4 @@
-//! When planned stops have ended.
+//! Tests of when planned stops have ended.
 
 use std::collections;
 
