--- a/crates/decide/src/members/digest.rs
+++ b/crates/decide/src/members/digest.rs
@@ -1,10 +1,10 @@
-//! What two daemons tell each other in an exchange.
+//! The message that daemons exchange.
 
 use trefoildyke_types::id;
 
 use crate::members::{self, number};
 
-/// Sums up what a daemon knows; both sides of an exchange send one.
+/// A summary of a daemon's knowledge; both sides of an exchange send one.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Digest {
@@ -13,18 +13,19 @@
     pub from: id::Incarnation,
     /// [`members::View::hash`] at the sender; `subtree` and `in_force` hold for this set only.
     pub members: u64,
-    /// A hash over the members that are not dead with their sequence numbers and states.
+    /// A hash over the incarnations, sequence numbers and states of the members that are not dead.
     pub table: u64,
     /// The configuration version at the sender.
     pub config: u64,
-    /// What the sender and the members below it in the aggregation tree have reported.
+    /// The combined reports of the sender and the members below it in the aggregation tree.
     pub subtree: members::Subtree,
-    /// How far every member is known to have come.
+    /// The versions that every member is known to have reached.
     pub in_force: members::Versions,
-    /// News, the least often sent first.
+    /// New updates, the least often sent first.
     pub updates: Vec<members::Update>,
-    /// One hash for each part of the table, if the tables are being compared; else empty.
+    /// One hash for each part of the table if the tables are being compared; otherwise empty.
     pub parts: Vec<u32>,
-    /// Members in the parts that differ; a death among them is checked before it is believed.
+    /// The members in the parts that differ; the receiver verifies a death among them before
+    /// accepting it.
     pub compared: Vec<members::Update>,
 }
--- a/crates/decide/src/members/entry.rs
+++ b/crates/decide/src/members/entry.rs
@@ -1,24 +1,25 @@
-//! What a daemon keeps about one member.
+//! The table entry of one member.
 
 use trefoildyke_types::{id, time};
 use xxhash_rust::xxh3;
 
 use crate::members;
 
-/// Holds what a daemon knows of one member.
+/// A daemon's knowledge about one member.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) place: members::Place,
     pub(crate) sequence: u32,
     pub(crate) state: members::State,
-    /// When the state was taken over here.
+    /// When this daemon accepted the current state.
     pub(crate) since: time::Timestamp,
-    /// When the member itself was last heard, if ever.
-    pub(crate) heard: Option<time::Timestamp>,
-    /// Since when this daemon alone fails to reach the member; it is not told to others.
+    /// When the last message from the member itself arrived, if any.
+    pub(crate) last_heard: Option<time::Timestamp>,
+    /// When this daemon last failed to reach the member or retried it, if it cannot reach it; other
+    /// daemons are not told.
     pub(crate) unreachable: Option<time::Timestamp>,
-    /// The member's table hash, as it last stated it.
-    pub(crate) table: Option<u64>,
+    /// The member's table hash, as it last reported it.
+    pub(crate) table_hash: Option<u64>,
 }
 
 impl Entry {
@@ -28,11 +29,19 @@
         state: members::State,
         now: time::Timestamp,
     ) -> Self {
-        Self { place, sequence, state, since: now, heard: None, unreachable: None, table: None }
+        Self {
+            place,
+            sequence,
+            state,
+            since: now,
+            last_heard: None,
+            unreachable: None,
+            table_hash: None,
+        }
     }
 
-    /// Returns the state as this daemon should act on it.
-    pub(crate) fn seen_state(&self) -> members::State {
+    /// Returns the state that this daemon should act on.
+    pub(crate) fn effective_state(&self) -> members::State {
         match self.state {
             members::State::Alive if self.unreachable.is_some() => members::State::Suspect,
             state => state,
@@ -52,7 +61,7 @@
         }
     }
 
-    /// Returns the entry's share of the table's hash; 0 if the member does not count.
+    /// Returns the entry's contribution to the table hash; 0 if the member is dead.
     pub(crate) fn hash(&self, incarnation: id::Incarnation) -> u64 {
         if !self.state.counts() {
             return 0;
@@ -64,7 +73,7 @@
         xxh3::xxh3_64(&bytes)
     }
 
-    /// Returns the member's share of the hash of the member set; 0 if it does not count.
+    /// Returns the member's contribution to the hash of the member set; 0 if the member is dead.
     pub(crate) fn member_hash(&self, incarnation: id::Incarnation) -> u64 {
         if self.state.counts() { xxh3::xxh3_64(&incarnation.as_u64().to_le_bytes()) } else { 0 }
     }
--- a/crates/decide/src/members/exchange.rs
+++ b/crates/decide/src/members/exchange.rs
@@ -1,4 +1,4 @@
-//! When a daemon exchanges digests, and with whom.
+//! Scheduling of digest exchanges with other members.
 
 use std::net;
 
@@ -6,16 +6,17 @@
 
 use crate::members::{self, Membership, membership};
 
-/// An exchange that has had no outcome for so many periods is forgotten.
-const LOST_PERIODS: u32 = 8;
+/// The number of periods after which an exchange without an outcome is dropped.
+const EXCHANGE_TIMEOUT_PERIODS: u32 = 8;
 
-/// A child that has not been heard for so many periods is asked.
-const CHILD_PERIODS: u32 = 3;
+/// The number of periods without a message after which a child is contacted.
+const CHILD_SILENCE_PERIODS: u32 = 3;
 
-/// A daemon that has met nobody after so many intervals of reconnecting takes itself to be alone.
+/// The number of reconnect intervals after which a daemon that has met no other one considers
+/// itself alone.
 const ALONE_RECONNECTS: u32 = 3;
 
-/// A member that cannot be reached from here is tried again after so many periods.
+/// The number of periods after which an unreachable member is retried.
 const RETRY_PERIODS: u32 = 5;
 
 impl Membership {
@@ -28,9 +29,10 @@
             return;
         }
         self.times.period = now;
-        self.exchanging.retain(|(_, start)| now.since(*start) < self.params.period * LOST_PERIODS);
-        self.end_suspicions(now);
-        self.forget(now);
+        self.open_exchanges
+            .retain(|(_, start)| now.since(*start) < self.params.period * EXCHANGE_TIMEOUT_PERIODS);
+        self.expire_suspects(now);
+        self.remove_dead(now);
         self.rotate_partners(now);
         for target in self.period_targets(now) {
             self.exchange(now, members::Target::Member(target), outputs);
@@ -38,9 +40,10 @@
         self.reconnect(now, outputs);
     }
 
-    /// Goes on after a pause of this process: what was timed before it means nothing.
+    /// Resets the state after a pause of this process, since times measured before it are
+    /// meaningless.
     fn resume(&mut self, now: time::Timestamp) {
-        self.exchanging.clear();
+        self.open_exchanges.clear();
         self.probes.clear();
         self.joining = true;
         self.times.start = now;
@@ -52,32 +55,32 @@
         self.changed(now);
     }
 
-    /// Returns whom to exchange with in this period.
+    /// Returns the members to exchange digests with in this period.
     fn period_targets(&mut self, now: time::Timestamp) -> Vec<id::Incarnation> {
-        let parent = self.tree.parent().or_else(|| self.draw_partner());
-        let partner = self.draw_partner();
+        let parent = self.tree.parent().or_else(|| self.random_partner());
+        let partner = self.random_partner();
         let child = self.silent_child(now);
         let retry = self.unreachable_due(now);
         let challenged = self.challenged.keys().next().copied();
         [parent, partner, child, retry, challenged].into_iter().flatten().collect()
     }
 
-    fn draw_partner(&mut self) -> Option<id::Incarnation> {
+    fn random_partner(&mut self) -> Option<id::Incarnation> {
         let index = self.random.below(self.partners.len());
         self.partners.get(index).copied()
     }
 
     /// Returns a child that should have started an exchange with this daemon and has not.
     fn silent_child(&self, now: time::Timestamp) -> Option<id::Incarnation> {
-        let limit = self.params.period * CHILD_PERIODS;
+        let limit = self.params.period * CHILD_SILENCE_PERIODS;
         self.tree.children().into_iter().find(|child| {
-            let heard = self.table.get(*child).and_then(|entry| entry.heard);
+            let heard = self.table.get(*child).and_then(|entry| entry.last_heard);
             let since = heard.unwrap_or_default().max(self.times.rebuild);
             now.since(since) >= limit
         })
     }
 
-    /// Returns the member that has been unreachable from here for longest, if it is due.
+    /// Returns the member whose last failure is the longest ago, if its retry is due.
     fn unreachable_due(&mut self, now: time::Timestamp) -> Option<id::Incarnation> {
         let limit = self.params.period * RETRY_PERIODS;
         let unreachable = self.table.iter_mut().filter(|(_, entry)| entry.state.counts());
@@ -92,7 +95,7 @@
         let wanted = self.params.partners.min(self.table.count().saturating_sub(1));
         if now.since(self.times.rotate) >= self.params.rotate && self.partners.len() >= wanted {
             self.times.rotate = now;
-            // With all others as partners there is nobody to change to.
+            // If all other members are partners, there is no other member to change to.
             if self.table.count() > self.params.partners + 1 {
                 self.random.take(&mut self.partners);
             }
@@ -109,7 +112,8 @@
         }
     }
 
-    /// Tries an address at which no living member is known: to join, and to find lost ones again.
+    /// Tries an address at which no living member is known, to join the cluster or find lost
+    /// members again.
     fn reconnect(&mut self, now: time::Timestamp, outputs: &mut Vec<members::Output>) {
         let alone = self.table.count() <= 1;
         if !alone && now.since(self.times.reconnect) < self.params.reconnect {
@@ -133,13 +137,14 @@
         living.map(|(_, entry)| entry.place.peer)
     }
 
-    /// Tells the parent and partners of news without waiting for the period.
+    /// Sends changed subtree reports to the parent and news to partners, without waiting for the
+    /// next period.
     pub(crate) fn send_news(&mut self, now: time::Timestamp, outputs: &mut Vec<members::Output>) {
         self.report_subtree(now, outputs);
-        if !self.push || now.since(self.times.push) < self.params.push_gap {
+        if !self.must_push || now.since(self.times.push) < self.params.push_gap {
             return;
         }
-        self.push = false;
+        self.must_push = false;
         self.times.push = now;
         let mut partners = self.partners.clone();
         for _ in 0..self.params.fan_out {
@@ -164,10 +169,11 @@
         }
     }
 
-    /// Returns whether this daemon knows the others well enough to speak for all.
+    /// Returns whether this daemon knows the other members well enough to conclude what all have
+    /// reached.
     ///
-    /// One that has just started or was paused first compares its table with a peer's. If none can
-    /// be found for long enough, it takes itself to be the only one.
+    /// A daemon that has just started or was paused first compares its table with another member's.
+    /// If it finds none for long enough, it considers itself the only member.
     fn may_conclude(&self, now: time::Timestamp) -> bool {
         let own = self.table.get(self.own).map(|own| own.place.peer);
         let no_seed = self.seeds.iter().all(|seed| Some(*seed) == own);
@@ -192,7 +198,7 @@
         self.exchange_with(now, target, Vec::new(), outputs);
     }
 
-    /// Starts an exchange that also states the members of parts that differ.
+    /// Starts an exchange that also sends the members of the parts that differ.
     pub(crate) fn exchange_with(
         &mut self,
         now: time::Timestamp,
@@ -200,10 +206,10 @@
         compared: Vec<members::Update>,
         outputs: &mut Vec<members::Output>,
     ) {
-        if self.exchanging.iter().any(|(open, _)| *open == target) {
+        if self.open_exchanges.iter().any(|(open, _)| *open == target) {
             return;
         }
-        self.exchanging.push((target, now));
+        self.open_exchanges.push((target, now));
         let partner = match target {
             members::Target::Member(incarnation) => Some(incarnation),
             members::Target::Address(_) => None,
@@ -222,7 +228,7 @@
         outputs.push(members::Output::Exchange { target, digest });
     }
 
-    /// Returns the statement that the target must refute, if somebody holds it to be dead.
+    /// Returns the update that the target must refute if another member holds it to be dead.
     fn challenge(&mut self, target: members::Target) -> Option<members::Update> {
         match target {
             members::Target::Member(incarnation) => {
@@ -231,31 +237,32 @@
                 Some(members::Update { incarnation, sequence, state, place: None })
             }
             members::Target::Address(address) => {
-                let (number, dead) = self
+                let (incarnation, dead) = self
                     .table
                     .iter()
                     .find(|(_, entry)| entry.place.peer == address && !entry.state.counts())?;
-                Some(dead.update(number, false))
+                Some(dead.update(incarnation, false))
             }
         }
     }
 
-    /// Returns whether the partner's table is known to differ for good, or is not known at all.
+    /// Returns whether the tables must be compared: the partner is unknown, or its table differs
+    /// and either this daemon is joining or the difference has lasted.
     fn must_compare(&self, now: time::Timestamp, partner: Option<id::Incarnation>) -> bool {
         if partner.is_none() {
             return true;
         }
-        let theirs = partner.and_then(|partner| self.table.get(partner)?.table);
+        let theirs = partner.and_then(|partner| self.table.get(partner)?.table_hash);
         let differs = theirs != Some(self.table.hash());
         let settled = now.since(self.times.change) >= self.params.settle
             && now.since(self.times.compare) >= self.params.settle;
         differs && (self.joining || (theirs.is_some() && settled))
     }
 
-    /// Returns the digest for `partner`, with the news that it must hear first.
+    /// Returns the digest for `partner`, starting with the updates that it needs first.
     pub(crate) fn digest(&mut self, partner: Option<id::Incarnation>) -> members::Digest {
         let resend = self.params.resend_among(self.table.count());
-        let told = self.rumors.take(self.params.updates, resend);
+        let rumors = self.rumors.take(self.params.updates, resend);
         let known = partner.and_then(|partner| self.table.get(partner));
         let mut first = Vec::new();
         match (partner, known) {
@@ -263,12 +270,12 @@
                 first.push(entry.update(partner, false));
             }
             (Some(_), Some(_)) => {}
-            // A stranger must learn who this is, to answer and to call back.
+            // An unknown partner needs this daemon's own entry, to answer and to call back.
             _ => first.extend(self.table.get(self.own).map(|own| own.update(self.own, true))),
         }
-        let news = told.into_iter().filter_map(|number| {
-            let entry = self.table.get(number)?;
-            Some(entry.update(number, entry.state.counts()))
+        let news = rumors.into_iter().filter_map(|incarnation| {
+            let entry = self.table.get(incarnation)?;
+            Some(entry.update(incarnation, entry.state.counts()))
         });
         members::Digest {
             from: self.own,
--- a/crates/decide/src/members/failure.rs
+++ b/crates/decide/src/members/failure.rs
@@ -1,23 +1,23 @@
-//! From a missing answer to suspicion and death.
+//! Failure detection: from a missing answer to suspicion and death.
 
 use trefoildyke_types::{id, time};
 
-use crate::members::{self, Membership, membership, probes::Verdict};
+use crate::members::{self, Membership, membership, probes::ProbeResult};
 
-/// Members heard within so many periods are asked first to reach another.
+/// Members from which a message arrived within this number of periods are preferred as helpers.
 const RECENT_PERIODS: u32 = 3;
 
 impl Membership {
-    /// Notes that a member did not answer and asks others to reach it.
+    /// Records that a member did not answer, and asks helpers to reach it.
     ///
-    /// Until they have answered, only this daemon avoids the member.
+    /// Until they have answered, only this daemon treats the member as suspect.
     pub(crate) fn failed(
         &mut self,
         now: time::Timestamp,
         target: members::Target,
         outputs: &mut Vec<members::Output>,
     ) {
-        self.exchanging.retain(|(open, _)| *open != target);
+        self.open_exchanges.retain(|(open, _)| *open != target);
         let members::Target::Member(target) = target else { return };
         let Some(entry) = self.table.get_mut(target) else { return };
         if !entry.state.counts() || target == self.own {
@@ -26,7 +26,7 @@
         if entry.unreachable.replace(now).is_none() {
             self.changed(now);
         }
-        if self.probes.is_open(target) {
+        if self.probes.is_pending(target) {
             return;
         }
         self.probe(now, target, outputs);
@@ -39,11 +39,11 @@
         outputs: &mut Vec<members::Output>,
     ) {
         if self.table.count() <= 2 {
-            // With nobody else there, nobody can know better.
+            // There is no other member to ask.
             self.suspect(now, target);
             return;
         }
-        let helpers = self.helpers(now, target);
+        let helpers = self.choose_helpers(now, target);
         if helpers.is_empty() {
             return;
         }
@@ -52,19 +52,26 @@
         outputs.extend(helpers.into_iter().map(probe));
     }
 
-    /// Chooses whom to ask; those heard of late come first, since the others may be cut off too.
-    fn helpers(&mut self, now: time::Timestamp, target: id::Incarnation) -> Vec<id::Incarnation> {
+    /// Chooses the helpers; members heard from recently come first, since the others may be cut off
+    /// too.
+    fn choose_helpers(
+        &mut self,
+        now: time::Timestamp,
+        target: id::Incarnation,
+    ) -> Vec<id::Incarnation> {
         let limit = self.params.period * RECENT_PERIODS;
         let others = membership::others(&self.table, self.own);
         let others = others.into_iter().filter(|other| *other != target);
         let (mut recent, mut rest): (Vec<_>, Vec<_>) = others.partition(|other| {
             let entry = self.table.get(*other);
             let reached = entry.filter(|entry| entry.unreachable.is_none());
-            let heard = reached.and_then(|entry| entry.heard);
+            let heard = reached.and_then(|entry| entry.last_heard);
             heard.is_some_and(|heard| now.since(heard) < limit)
         });
         rest.retain(|other| {
-            self.table.get(*other).is_some_and(|entry| entry.seen_state() == members::State::Alive)
+            self.table
+                .get(*other)
+                .is_some_and(|entry| entry.effective_state() == members::State::Alive)
         });
         let mut chosen = Vec::new();
         while chosen.len() < self.params.helpers
@@ -76,19 +83,19 @@
         chosen
     }
 
-    /// Counts what a helper found.
+    /// Counts a helper's result.
     pub(crate) fn probed(
         &mut self,
         now: time::Timestamp,
         target: id::Incarnation,
         reached: Option<bool>,
     ) {
-        if self.probes.answer(target, reached) == Verdict::Unreached {
+        if self.probes.answer(target, reached) == ProbeResult::Unreached {
             self.suspect(now, target);
         }
     }
 
-    /// Tells others that a member is suspect; one that was leaving is dead.
+    /// Declares a member suspect, or dead if it was leaving, and tells the others.
     fn suspect(&mut self, now: time::Timestamp, target: id::Incarnation) {
         let Some(entry) = self.table.get(target) else { return };
         let mut update = entry.update(target, false);
@@ -98,31 +105,33 @@
             members::State::Suspect | members::State::Dead => return,
         };
         if self.accept(&update, now) {
-            self.push = true;
+            self.must_push = true;
         }
     }
 
-    /// Calls those dead that have been suspect for too long.
-    pub(crate) fn end_suspicions(&mut self, now: time::Timestamp) {
+    /// Declares the members dead that have been suspect for too long.
+    pub(crate) fn expire_suspects(&mut self, now: time::Timestamp) {
         let limit = self.params.suspicion_among(self.table.count());
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .table
             .iter()
             .filter(|(_, entry)| entry.state == members::State::Suspect)
-            .filter(|(number, entry)| *number != self.own && now.since(entry.since) >= limit)
-            .map(|(number, entry)| {
-                let mut update = entry.update(number, false);
+            .filter(|(incarnation, entry)| {
+                *incarnation != self.own && now.since(entry.since) >= limit
+            })
+            .map(|(incarnation, entry)| {
+                let mut update = entry.update(incarnation, false);
                 update.state = members::State::Dead;
                 update
             })
             .collect();
-        for update in over {
+        for update in expired {
             self.accept(&update, now);
         }
     }
 
-    /// Drops the members that have been dead for long enough.
-    pub(crate) fn forget(&mut self, now: time::Timestamp) {
+    /// Removes the members that have been dead for long enough.
+    pub(crate) fn remove_dead(&mut self, now: time::Timestamp) {
         let limit = self.params.forget;
         let dead = |entry: &members::entry::Entry| {
             !entry.state.counts() && now.since(entry.since) >= limit
--- a/crates/decide/src/members/input.rs
+++ b/crates/decide/src/members/input.rs
@@ -1,4 +1,4 @@
-//! What happens to the membership.
+//! The events that the membership handles.
 
 use std::net;
 
@@ -6,33 +6,33 @@
 
 use crate::members;
 
-/// Describes something that the membership must react to.
+/// An event for the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed; comes several times a second, with a fresh random number.
+    /// Time has passed; sent several times per second, with a fresh random number.
     Tick {
-        /// Any number that others cannot foresee.
+        /// A number that others cannot predict.
         random: u64,
     },
-    /// A peer started an exchange; the answer goes back to it.
+    /// A peer started an exchange and expects an answer.
     Received(members::Digest),
     /// A peer answered an exchange that this daemon started.
     Answered {
-        /// Whom the exchange was with.
+        /// The target of the exchange.
         target: members::Target,
         /// The answer.
         digest: members::Digest,
     },
     /// An exchange that this daemon started got no answer, or a call to the member failed.
     Failed(members::Target),
-    /// A member has tried to reach another one on behalf of this daemon.
+    /// A helper has tried to reach a member on behalf of this daemon.
     Probed {
-        /// The member that could not be reached from here.
+        /// The member that this daemon could not reach.
         target: id::Incarnation,
-        /// Whether it could be reached from there; `None` if the helper itself did not answer.
+        /// Whether the helper reached it; `None` if the helper itself did not answer.
         reached: Option<bool>,
     },
-    /// This daemon has come further.
+    /// This daemon has reached later versions.
     Versions(members::Versions),
     /// The addresses at which members may be found.
     Seeds(Vec<net::SocketAddr>),
--- a/crates/decide/src/members/member.rs
+++ b/crates/decide/src/members/member.rs
@@ -1,4 +1,4 @@
-//! One daemon as the others see it.
+//! A member of the cluster.
 
 use std::net;
 
@@ -6,18 +6,18 @@
 
 use crate::members;
 
-/// Describes one life of one daemon as another daemon sees it.
+/// One incarnation of a daemon, as another daemon sees it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
     /// The host.
     pub host: id::HostName,
-    /// The life of the process.
+    /// The incarnation of the daemon's process.
     pub incarnation: id::Incarnation,
     /// The availability zone.
     pub zone: id::ZoneName,
-    /// Where the daemon takes connections from its peers.
+    /// The address at which the daemon accepts connections from its peers.
     pub peer: net::SocketAddr,
-    /// How it stands.
+    /// The state of the member.
     pub state: members::State,
 }
--- a/crates/decide/src/members/membership.rs
+++ b/crates/decide/src/members/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of one daemon: who is there, who is suspect, which configuration is in force.
+//! One daemon's membership state: the known members, their states and the versions in force.
 
 use std::{collections, net};
 
@@ -8,12 +8,14 @@
     self, entry::Entry, probes::Probes, random::Random, rumors::Rumors, table::Table, tree::Tree,
 };
 
-/// Holds what one daemon knows of all daemons and decides what it tells them.
+/// A daemon's knowledge about all daemons, and the gossip protocol that spreads it.
 ///
-/// Each period a daemon exchanges digests with its parent in a tree over the sorted members and with
-/// one of a few partners. News rides on the digests. A member that does not answer is tried by
-/// others before it is called suspect, and a suspect has time to refute before it is called dead.
-/// None of this decides more than soft roles and when a configuration version is reported as in
+/// Each period a daemon exchanges digests with its parent in a tree over the sorted members and
+/// with one of a few partners. The digests carry new updates. If a member does not answer, helpers
+/// try to reach it before it is declared suspect, and a suspect member has time to refute the
+/// suspicion before it is declared dead.
+///
+/// The membership decides only soft roles, and when a configuration version is reported as in
 /// force.
 #[derive(Clone, Debug)]
 pub struct Membership {
@@ -24,29 +26,31 @@
     pub(crate) probes: Probes,
     pub(crate) tree: Tree,
     pub(crate) random: Random,
-    /// How far this daemon has come.
+    /// The versions that this daemon has reached.
     pub(crate) versions: members::Versions,
-    /// How far every member is known to have come, with the hash of the set that it holds for.
+    /// The versions that every member is known to have reached, with the hash of the member set for
+    /// which this holds.
     pub(crate) in_force: (u64, members::Versions),
-    /// The version that was asked for last, and when.
-    pub(crate) pulling: (u64, time::Timestamp),
+    /// The last version that was requested, and when.
+    pub(crate) last_pull: (u64, time::Timestamp),
     pub(crate) seeds: Vec<net::SocketAddr>,
     pub(crate) partners: Vec<id::Incarnation>,
-    /// The exchanges that were started and are not answered, with their starts.
-    pub(crate) exchanging: Vec<(members::Target, time::Timestamp)>,
-    /// Whether the table must be compared with the next peer, without waiting for it to settle.
+    /// The targets and start times of the exchanges that have no answer yet.
+    pub(crate) open_exchanges: Vec<(members::Target, time::Timestamp)>,
+    /// Whether the table must be compared with the next peer's, without waiting for it to settle.
     pub(crate) joining: bool,
-    /// Members that another table holds as dead, with the sequence number that they must outdo.
+    /// Members that another table holds as dead, with the sequence number that they must exceed to
+    /// refute it.
     pub(crate) challenged: collections::BTreeMap<id::Incarnation, u32>,
     pub(crate) version: u64,
     pub(crate) times: Times,
-    /// What this daemon's subtree was when it was last reported to the parent.
+    /// The last subtree report to the parent, with the hash of the member set.
     pub(crate) reported: Option<(u64, members::Subtree)>,
-    /// Whether partners must hear of news before the next period.
-    pub(crate) push: bool,
+    /// Whether partners must be told news before the next period.
+    pub(crate) must_push: bool,
 }
 
-/// When things were last done.
+/// The times of the last events of each kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Times {
     pub(crate) start: time::Timestamp,
@@ -56,13 +60,13 @@
     pub(crate) rotate: time::Timestamp,
     pub(crate) reconnect: time::Timestamp,
     pub(crate) compare: time::Timestamp,
-    /// When the table last changed.
+    /// When the view last changed.
     pub(crate) change: time::Timestamp,
     /// When the tree was last rebuilt.
     pub(crate) rebuild: time::Timestamp,
-    /// When the parent was last reported to.
+    /// When the last report to the parent was sent.
     pub(crate) report: time::Timestamp,
-    /// When any peer was last heard.
+    /// When the last digest from any peer arrived.
     pub(crate) contact: Option<time::Timestamp>,
 }
 
@@ -85,16 +89,16 @@
             random: Random::default(),
             versions: members::Versions::default(),
             in_force: (0, members::Versions::default()),
-            pulling: (0, now),
+            last_pull: (0, now),
             seeds: Vec::new(),
             partners: Vec::new(),
-            exchanging: Vec::new(),
+            open_exchanges: Vec::new(),
             joining: true,
             challenged: collections::BTreeMap::new(),
             version: 0,
             times,
             reported: None,
-            push: false,
+            must_push: false,
         };
         let update = members::Update {
             incarnation: own,
@@ -107,13 +111,13 @@
         this
     }
 
-    /// Reacts to `input` at `now` and returns what is to be done, in order.
+    /// Handles `input` at time `now` and returns the actions to carry out, in order.
     pub fn step(&mut self, now: time::Timestamp, input: members::Input) -> Vec<members::Output> {
         let before = (self.version, self.in_force());
         let mut outputs = Vec::new();
         match input {
             members::Input::Tick { random } => {
-                self.random.stir(random);
+                self.random.reseed(random);
                 self.tick(now, &mut outputs);
             }
             members::Input::Received(digest) => self.received(now, &digest, &mut outputs),
@@ -134,7 +138,7 @@
         outputs
     }
 
-    /// Returns what this daemon believes about all daemons; costs a copy of the members.
+    /// Returns this daemon's view of all daemons; costs a copy of the members.
     pub fn view(&self) -> members::View {
         let members = self.table.iter().map(|(incarnation, entry)| member(incarnation, entry));
         members::View {
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Returns the number that rises with every change of the view.
+    /// Returns the number that increases with every change of the view.
     pub const fn version(&self) -> u64 {
         self.version
     }
@@ -154,35 +158,36 @@
         self.table.members_hash()
     }
 
-    /// Returns how far every member of the view has come.
+    /// Returns the versions that every member of the view has reached.
     pub fn in_force(&self) -> members::Versions {
         let (set, versions) = self.in_force;
         if set == self.table.members_hash() { versions } else { members::Versions::default() }
     }
 
-    /// Returns when any peer was last heard, if ever.
+    /// Returns when the last digest from any peer arrived, if any.
     pub const fn contact(&self) -> Option<time::Timestamp> {
         self.times.contact
     }
 
-    /// Returns where a member takes connections from its peers.
+    /// Returns the address at which a member accepts connections from its peers.
     pub fn address(&self, incarnation: id::Incarnation) -> Option<net::SocketAddr> {
         self.table.get(incarnation).map(|entry| entry.place.peer)
     }
 
-    /// Takes over how far this daemon has come; news of a configuration is told at once.
+    /// Records the versions that this daemon has reached; a new configuration version is sent at
+    /// once.
     fn raise_versions(&mut self, versions: members::Versions) {
-        self.push |= versions.config > self.versions.config;
+        self.must_push |= versions.config > self.versions.config;
         self.versions = self.versions.highest(versions);
     }
 
     fn leave(&mut self, now: time::Timestamp) {
-        self.restate(now, members::State::Leaving);
-        self.push = true;
+        self.update_own(now, members::State::Leaving);
+        self.must_push = true;
     }
 
-    /// States anew how this daemon stands, with a sequence number that outdoes what others say.
-    pub(crate) fn restate(&mut self, now: time::Timestamp, state: members::State) {
+    /// Updates this daemon's own state, with a higher sequence number.
+    pub(crate) fn update_own(&mut self, now: time::Timestamp, state: members::State) {
         let Some(entry) = self.table.get(self.own) else { return };
         let mut update = entry.update(self.own, false);
         update.sequence += 1;
@@ -190,7 +195,7 @@
         self.accept(&update, now);
     }
 
-    /// Applies an update and tells it on if it was news.
+    /// Applies an update and gossips it if it was news; returns whether it was.
     pub(crate) fn accept(&mut self, update: &members::Update, now: time::Timestamp) -> bool {
         let news = self.apply(update, now);
         if news {
@@ -199,7 +204,7 @@
         news
     }
 
-    /// Applies an update and returns whether it was news.
+    /// Applies an update without gossiping it; returns whether it was news.
     pub(crate) fn apply(&mut self, update: &members::Update, now: time::Timestamp) -> bool {
         let news = self.table.apply(update, now);
         if news {
@@ -208,16 +213,16 @@
         news
     }
 
-    /// Notes that the view has changed.
+    /// Records that the view has changed.
     pub(crate) fn changed(&mut self, now: time::Timestamp) {
         self.version += 1;
         self.times.change = now;
     }
 
-    /// Places the members in the tree anew if the set has changed.
+    /// Rebuilds the tree if the set of members has changed.
     fn rebuild(&mut self, now: time::Timestamp) {
         let set = self.table.members_hash();
-        if self.tree.is_for(set) {
+        if self.tree.is_built_for(set) {
             return;
         }
         let counting = self.table.iter().filter(|(_, entry)| entry.state.counts());
@@ -235,15 +240,16 @@
         incarnation,
         zone: entry.place.zone.clone(),
         peer: entry.place.peer,
-        state: entry.seen_state(),
+        state: entry.effective_state(),
     }
 }
 
-/// Collects the living members besides `own` in the order of their incarnations.
+/// Returns the members besides `own` that are not dead, in the order of their incarnations.
 pub(crate) fn others(
     table: &Table,
     own: id::Incarnation,
 ) -> collections::VecDeque<id::Incarnation> {
-    let counting = table.iter().filter(|(number, entry)| *number != own && entry.state.counts());
+    let counting =
+        table.iter().filter(|(incarnation, entry)| *incarnation != own && entry.state.counts());
     counting.map(|(incarnation, _)| incarnation).collect()
 }
--- a/crates/decide/src/members/merge.rs
+++ b/crates/decide/src/members/merge.rs
@@ -1,14 +1,14 @@
-//! What a daemon learns from the digests of others.
+//! Merging of the digests that other daemons send.
 
 use trefoildyke_types::{id, time};
 
 use crate::members::{self, Membership, table::PARTS};
 
-/// A dead member's death is told to those who have not heard for so many periods.
+/// The number of periods during which a member's death is sent to those who do not know of it.
 const FRESH_PERIODS: u32 = 30;
 
 impl Membership {
-    /// Merges a digest that started an exchange and answers it.
+    /// Merges a digest that started an exchange, and answers it.
     pub(crate) fn received(
         &mut self,
         now: time::Timestamp,
@@ -34,7 +34,7 @@
         digest: &members::Digest,
         outputs: &mut Vec<members::Output>,
     ) {
-        self.exchanging.retain(|(open, _)| *open != target);
+        self.open_exchanges.retain(|(open, _)| *open != target);
         let before = (self.version, self.sequence());
         self.merge(now, digest, outputs);
         let learned = before.0 != self.version;
@@ -64,7 +64,7 @@
         self.table.get(self.own).map(|own| own.sequence)
     }
 
-    /// Merges a digest and returns what its sender should have known.
+    /// Merges a digest and returns newer updates for what its sender has out of date.
     fn merge(
         &mut self,
         now: time::Timestamp,
@@ -83,25 +83,27 @@
             }
         }
         for update in &digest.compared {
-            self.compare(now, update);
+            self.merge_compared(now, update);
         }
-        self.heard(now, digest);
-        self.tree.report(digest.from, digest.members, digest.subtree);
+        self.record_contact(now, digest);
+        self.tree.record_report(digest.from, digest.members, digest.subtree);
         if digest.members == self.table.members_hash() {
             self.raise_in_force(digest.in_force);
         }
-        self.pull(now, digest, outputs);
+        self.pull_config(now, digest, outputs);
         corrections
     }
 
-    /// Takes over what another table holds, except deaths: those are checked with the member.
+    /// Applies an entry of another member's table, except for deaths, which are verified with the
+    /// member.
     ///
-    /// The other table may be the one that is behind, after a cut or a pause.
-    fn compare(&mut self, now: time::Timestamp, update: &members::Update) {
+    /// The other table may be the outdated one, after a network partition or a pause.
+    fn merge_compared(&mut self, now: time::Timestamp, update: &members::Update) {
         if update.incarnation == self.own {
             self.refute(now, update);
         } else if update.state != members::State::Dead {
-            // Others compare as well: telling it on would flood the digests after every join.
+            // Other members compare their tables too. Gossiping these updates would flood the
+            // digests after every join.
             self.apply(update, now);
         } else if let Some(entry) = self.table.get(update.incarnation)
             && entry.state.counts()
@@ -111,22 +113,23 @@
         }
     }
 
-    /// Outdoes a statement that this daemon is suspect or dead.
+    /// Refutes an update that outranks this daemon's own state, with a higher sequence number.
     fn refute(&mut self, now: time::Timestamp, update: &members::Update) {
         let Some(own) = self.table.get(self.own) else { return };
         let state = own.state;
-        let behind = update.sequence > own.sequence;
-        if behind || (update.sequence == own.sequence && update.state > state) {
+        let is_behind = update.sequence > own.sequence;
+        if is_behind || (update.sequence == own.sequence && update.state > state) {
             let mut current = own.update(self.own, false);
             current.sequence = update.sequence + 1;
             self.accept(&current, now);
         }
     }
 
-    /// Returns what this daemon knows better than `update`, if that is fresh enough to be told.
+    /// Returns this daemon's newer update for the member of `update`, if it is recent enough to
+    /// send.
     ///
-    /// An old death is not told: it may stem from a cut that is over, and the member refutes it
-    /// itself as soon as it meets somebody who believes it.
+    /// An old death is not sent: it may stem from a network partition that has ended, and the
+    /// member itself refutes it as soon as it contacts a member that believes it.
     fn correction(
         &self,
         now: time::Timestamp,
@@ -138,28 +141,28 @@
         (better && (fresh || entry.state.counts())).then(|| entry.update(update.incarnation, false))
     }
 
-    /// Notes that the sender of `digest` is there.
-    fn heard(&mut self, now: time::Timestamp, digest: &members::Digest) {
+    /// Records a message from the sender of `digest`.
+    fn record_contact(&mut self, now: time::Timestamp, digest: &members::Digest) {
         self.times.contact = Some(now);
         let Some(entry) = self.table.get_mut(digest.from) else { return };
-        entry.heard = Some(now);
-        entry.table = Some(digest.table);
+        entry.last_heard = Some(now);
+        entry.table_hash = Some(digest.table);
         if entry.unreachable.take().is_some() {
             self.changed(now);
         }
     }
 
-    /// Asks for the configuration changes that the sender of `digest` has.
-    fn pull(
+    /// Requests the configuration changes that the sender of `digest` has.
+    fn pull_config(
         &mut self,
         now: time::Timestamp,
         digest: &members::Digest,
         outputs: &mut Vec<members::Output>,
     ) {
-        let (asked, at) = self.pulling;
+        let (asked, at) = self.last_pull;
         let open = digest.config <= asked && now.since(at) < self.params.period;
         if digest.config > self.versions.config && !open {
-            self.pulling = (digest.config, now);
+            self.last_pull = (digest.config, now);
             let from: id::Incarnation = digest.from;
             outputs.push(members::Output::Pull { from, version: digest.config });
         }
--- a/crates/decide/src/members/mod.rs
+++ b/crates/decide/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Which daemons there are, and which of them takes a soft role.
+//! Cluster membership: which daemons there are, and which of them takes a soft role.
 
 mod digest;
 mod entry;
--- a/crates/decide/src/members/number.rs
+++ b/crates/decide/src/members/number.rs
@@ -1,4 +1,5 @@
-//! Incarnations as numbers: a digest holds many, and their text is twice as long.
+//! Serialization of incarnations as numbers, since a digest holds many and their text is twice as
+//! long.
 
 use serde::Deserialize as _;
 use trefoildyke_types::id;
--- a/crates/decide/src/members/output.rs
+++ b/crates/decide/src/members/output.rs
@@ -1,26 +1,26 @@
-//! What the membership wants done.
+//! The actions that the membership requests.
 
 use trefoildyke_types::id;
 
 use crate::members;
 
-/// Describes something to do for the membership.
+/// An action that the caller of the membership must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a digest and come back with [`members::Input::Answered`] or [`members::Input::Failed`].
+    /// Send a digest, then pass in [`members::Input::Answered`] or [`members::Input::Failed`].
     Exchange {
-        /// Whom to send it to.
+        /// The receiver of the digest.
         target: members::Target,
         /// The digest.
         digest: members::Digest,
     },
     /// Answer the exchange that was received.
     Answer(members::Digest),
-    /// Have `via` try to reach `target` and come back with [`members::Input::Probed`].
+    /// Ask `via` to reach `target`, then pass in [`members::Input::Probed`].
     Probe {
-        /// The member that tries.
+        /// The helper that tries to reach `target`.
         via: id::Incarnation,
-        /// The member to be reached.
+        /// The member to reach.
         target: id::Incarnation,
     },
     /// Fetch the configuration changes from a member that has a later version.
--- a/crates/decide/src/members/params.rs
+++ b/crates/decide/src/members/params.rs
@@ -1,39 +1,39 @@
-//! Intervals and bounds of the membership.
+//! Intervals and limits of the membership.
 
 use std::time;
 
-/// Holds the intervals and bounds; all daemons should use the same.
+/// The intervals and limits of the membership; all daemons should use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Params {
     /// How often a daemon exchanges digests with its parent and with one partner.
     pub period: time::Duration,
-    /// The least time between two exchanges that are started because of news.
+    /// The minimum time between two exchanges that are started because of news.
     pub push_gap: time::Duration,
-    /// How many partners hear at once of a new configuration version.
+    /// The number of partners that are told news at once, such as a new configuration version.
     pub fan_out: usize,
-    /// How many partners a daemon keeps, so that connections are reused.
+    /// The number of partners that a daemon keeps, so that connections are reused.
     pub partners: usize,
     /// How often one partner is replaced by another.
     pub rotate: time::Duration,
-    /// The most updates in a digest, answers about differing parts aside.
+    /// The maximum number of news updates in a digest; those about differing parts do not count.
     pub updates: usize,
-    /// The most updates in an answer about differing parts.
+    /// The maximum number of updates in a digest about differing parts.
     pub bulk: usize,
     /// How many times an update is sent, for each doubling of the number of members.
     pub resend: usize,
-    /// How many members are asked to reach one that did not answer.
+    /// The number of helpers that are asked to reach a member that did not answer.
     pub helpers: usize,
-    /// The time that a suspect has to refute, and more for each doubling of the number of members.
+    /// The base time that a suspect member has to refute the suspicion.
     pub suspicion: time::Duration,
-    /// What is added to `suspicion` for each doubling of the number of members.
+    /// The time added to `suspicion` for each doubling of the number of members.
     pub suspicion_step: time::Duration,
-    /// How long a dead member is remembered.
+    /// How long a dead member is kept.
     pub forget: time::Duration,
     /// How often a daemon tries an address at which it knows no living member.
     pub reconnect: time::Duration,
-    /// How long tables may differ before their differing parts are asked for.
+    /// How long tables may differ before their differing parts are requested.
     pub settle: time::Duration,
-    /// A gap between ticks that means that this process was paused.
+    /// The gap between two ticks from which this process counts as having been paused.
     pub pause: time::Duration,
 }
 
@@ -60,19 +60,19 @@
 }
 
 impl Params {
-    /// Returns how long a suspect has to refute among `count` members.
+    /// Returns how long a suspect member among `count` members has to refute the suspicion.
     pub(crate) fn suspicion_among(&self, count: usize) -> time::Duration {
-        self.suspicion + self.suspicion_step * log2(count)
+        self.suspicion + self.suspicion_step * bit_length(count)
     }
 
-    /// Returns how often an update is sent among `count` members.
+    /// Returns how many times an update is sent among `count` members.
     pub(crate) fn resend_among(&self, count: usize) -> usize {
-        self.resend * log2(count) as usize
+        self.resend * bit_length(count) as usize
     }
 }
 
-/// Returns the logarithm rounded up, at least 1.
-const fn log2(count: usize) -> u32 {
+/// Returns the number of binary digits of `count`, at least 1.
+const fn bit_length(count: usize) -> u32 {
     let bits = usize::BITS - count.leading_zeros();
     if bits == 0 { 1 } else { bits }
 }
--- a/crates/decide/src/members/place.rs
+++ b/crates/decide/src/members/place.rs
@@ -1,10 +1,10 @@
-//! Where a daemon runs.
+//! The location of a daemon.
 
 use std::net;
 
 use trefoildyke_types::id;
 
-/// Says where a daemon runs; it stays the same for one life of the process.
+/// The location of a daemon; it stays the same for one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
@@ -12,6 +12,6 @@
     pub host: id::HostName,
     /// The availability zone.
     pub zone: id::ZoneName,
-    /// Where the daemon takes connections from its peers.
+    /// The address at which the daemon accepts connections from its peers.
     pub peer: net::SocketAddr,
 }
--- a/crates/decide/src/members/probes.rs
+++ b/crates/decide/src/members/probes.rs
@@ -1,62 +1,62 @@
-//! Members that others are being asked to reach.
+//! Indirect probes: helpers try to reach a member that this daemon cannot reach.
 
 use std::collections;
 
 use trefoildyke_types::id;
 
-/// Says what the helpers' answers amount to.
+/// The combined result of the helpers' answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Answers are still out.
-    Open,
-    /// A helper reached the member, or no helper answered: nothing is known against it.
+pub(crate) enum ProbeResult {
+    /// Answers are still missing.
+    Pending,
+    /// A helper reached the member, or no helper answered; there is no evidence against the member.
     Cleared,
-    /// Helpers answered and none reached it.
+    /// Helpers answered and none of them reached the member.
     Unreached,
 }
 
-/// Counts the answers of helpers for each member that was not reached.
+/// The helpers' answers for each member that is being probed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
-    open: collections::BTreeMap<id::Incarnation, Count>,
+    pending: collections::BTreeMap<id::Incarnation, Answers>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
-    waiting: usize,
+struct Answers {
+    missing: usize,
     unreached: usize,
 }
 
 impl Probes {
-    pub(crate) fn is_open(&self, target: id::Incarnation) -> bool {
-        self.open.contains_key(&target)
+    pub(crate) fn is_pending(&self, target: id::Incarnation) -> bool {
+        self.pending.contains_key(&target)
     }
 
     pub(crate) fn start(&mut self, target: id::Incarnation, helpers: usize) {
-        self.open.insert(target, Count { waiting: helpers, unreached: 0 });
+        self.pending.insert(target, Answers { missing: helpers, unreached: 0 });
     }
 
     pub(crate) fn clear(&mut self) {
-        self.open.clear();
+        self.pending.clear();
     }
 
     /// Counts one helper's answer; `None` means that the helper did not answer.
-    pub(crate) fn answer(&mut self, target: id::Incarnation, reached: Option<bool>) -> Verdict {
-        let Some(count) = self.open.get_mut(&target) else { return Verdict::Cleared };
-        count.waiting = count.waiting.saturating_sub(1);
+    pub(crate) fn answer(&mut self, target: id::Incarnation, reached: Option<bool>) -> ProbeResult {
+        let Some(answers) = self.pending.get_mut(&target) else { return ProbeResult::Cleared };
+        answers.missing = answers.missing.saturating_sub(1);
         match reached {
             Some(true) => {
-                self.open.remove(&target);
-                return Verdict::Cleared;
+                self.pending.remove(&target);
+                return ProbeResult::Cleared;
             }
-            Some(false) => count.unreached += 1,
+            Some(false) => answers.unreached += 1,
             None => {}
         }
-        let count = *count;
-        if count.waiting > 0 {
-            return Verdict::Open;
+        let answers = *answers;
+        if answers.missing > 0 {
+            return ProbeResult::Pending;
         }
-        self.open.remove(&target);
-        if count.unreached > 0 { Verdict::Unreached } else { Verdict::Cleared }
+        self.pending.remove(&target);
+        if answers.unreached > 0 { ProbeResult::Unreached } else { ProbeResult::Cleared }
     }
 }
--- a/crates/decide/src/members/random.rs
+++ b/crates/decide/src/members/random.rs
@@ -1,20 +1,20 @@
-//! Choices made with the randomness that comes in with a tick.
+//! Random choices, seeded by the random numbers of the ticks.
 
-/// Draws numbers from a state that every tick stirs.
+/// A pseudorandom number generator that every tick reseeds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Random {
     state: u64,
 }
 
 impl Random {
-    /// Mixes fresh randomness in.
-    pub(crate) fn stir(&mut self, random: u64) {
+    /// Mixes a random number into the state.
+    pub(crate) fn reseed(&mut self, random: u64) {
         self.state ^= random;
     }
 
     /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
-        // SplitMix64: the choices need spread, not secrecy.
+        // SplitMix64; the choices must be evenly distributed, but need not be secret.
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -24,7 +24,7 @@
         usize::try_from(mixed % bound).unwrap_or(0)
     }
 
-    /// Takes one item out of `items`.
+    /// Removes and returns a random item, which changes the order of the others.
     pub(crate) fn take<T>(&mut self, items: &mut Vec<T>) -> Option<T> {
         if items.is_empty() {
             return None;
--- a/crates/decide/src/members/state.rs
+++ b/crates/decide/src/members/state.rs
@@ -1,18 +1,18 @@
-//! How a member stands in a view.
+//! The states of members.
 
-/// Says how a member stands; of two statements with one sequence number the later state wins.
+/// The state of a member; of two updates with the same sequence number the later state wins.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It did not answer and may be dead; it gets no soft roles.
+    /// The member did not answer and may be dead; it gets no soft roles.
     Suspect,
-    /// It said that it is shutting down; it answers but gets no soft roles.
+    /// The member announced its shutdown; it answers but gets no soft roles.
     Leaving,
-    /// It has been silent for too long, or its host runs a later incarnation.
+    /// The member has been silent for too long, or a later incarnation uses its address.
     Dead,
 }
 
--- a/crates/decide/src/members/subtree.rs
+++ b/crates/decide/src/members/subtree.rs
@@ -1,13 +1,13 @@
-//! What a part of the aggregation tree has reported.
+//! The combined reports of a subtree of the aggregation tree.
 
 use crate::members;
 
-/// Sums up the reports of a member and of all below it in the aggregation tree.
+/// The combined reports of a member and of all members below it in the aggregation tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Subtree {
-    /// How many members have reported.
+    /// The number of members that have reported.
     pub count: u32,
-    /// How far all of them have come.
+    /// The versions that all of them have reached.
     pub versions: members::Versions,
 }
--- a/crates/decide/src/members/table.rs
+++ b/crates/decide/src/members/table.rs
@@ -1,4 +1,4 @@
-//! All members that a daemon knows, with hashes to compare tables by.
+//! The table of all members that a daemon knows, with hashes for comparing tables.
 
 use std::{collections, net};
 
@@ -6,16 +6,16 @@
 
 use crate::members::{self, entry::Entry};
 
-/// The number of parts that a table is compared by.
+/// The number of parts into which a table is divided for comparison.
 pub(crate) const PARTS: usize = 64;
 
-/// Holds the members in the order of their incarnations.
+/// The members in the order of their incarnations.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     entries: collections::BTreeMap<id::Incarnation, Entry>,
     /// The latest incarnation at each address.
-    latest: collections::HashMap<net::SocketAddr, id::Incarnation>,
-    /// For each part the exclusive or of its entries' hashes.
+    by_address: collections::HashMap<net::SocketAddr, id::Incarnation>,
+    /// The exclusive or of the entries' hashes, for each part.
     parts: Vec<u64>,
     /// The exclusive or of the member hashes.
     members: u64,
@@ -31,7 +31,8 @@
         self.entries.get(&incarnation)
     }
 
-    /// Returns an entry whose place, sequence and state the caller must not change.
+    /// Returns an entry for changing fields other than place, sequence and state, which the hashes
+    /// cover.
     pub(crate) fn get_mut(&mut self, incarnation: id::Incarnation) -> Option<&mut Entry> {
         self.entries.get_mut(&incarnation)
     }
@@ -57,19 +58,19 @@
     /// Returns the hash of the whole table.
     pub(crate) fn hash(&self) -> u64 {
         self.parts.iter().enumerate().fold(0, |hash, (index, part)| {
-            let turn = u32::try_from(index).unwrap_or(0);
-            hash ^ part.rotate_left(turn)
+            let rotation = u32::try_from(index).unwrap_or(0);
+            hash ^ part.rotate_left(rotation)
         })
     }
 
-    /// Returns the short hashes of the parts.
+    /// Returns the shortened hashes of the parts.
     pub(crate) fn parts(&self) -> Vec<u32> {
-        self.parts.iter().map(|part| short(*part)).collect()
+        self.parts.iter().map(|part| shorten(*part)).collect()
     }
 
-    /// Returns at most `limit` members that lie in parts that differ from `parts`.
+    /// Returns at most `limit` members of the parts whose hashes differ from `parts`.
     ///
-    /// Starts at the part `start`, so that no part is left out for good.
+    /// Starts with part `start`, so that repeated calls with different values cover all parts.
     pub(crate) fn differing(
         &self,
         parts: &[u32],
@@ -78,15 +79,15 @@
     ) -> Vec<members::Update> {
         let own = self.parts();
         let differs = |part: usize| parts.get(part) != own.get(part);
-        let mut found: Vec<_> =
+        let mut entries: Vec<_> =
             self.iter().filter(|(incarnation, _)| differs(part_of(*incarnation))).collect();
-        found.sort_by_key(|(incarnation, _)| {
+        entries.sort_by_key(|(incarnation, _)| {
             (part_of(*incarnation) + PARTS - start % PARTS) % PARTS
         });
-        found
+        entries
             .iter()
             .take(limit)
-            .map(|(number, entry)| entry.update(*number, entry.state.counts()))
+            .map(|(incarnation, entry)| entry.update(*incarnation, entry.state.counts()))
             .collect()
     }
 
@@ -111,12 +112,12 @@
         if update.state == members::State::Dead {
             return false;
         }
-        let newest = *self.latest.entry(place.peer).or_insert(update.incarnation);
+        let newest = *self.by_address.entry(place.peer).or_insert(update.incarnation);
         if newest > update.incarnation {
             return false;
         }
         let entry = Entry::new(place.clone(), update.sequence, update.state, now);
-        self.latest.insert(place.peer, update.incarnation);
+        self.by_address.insert(place.peer, update.incarnation);
         self.entries.insert(update.incarnation, entry);
         self.toggle(update.incarnation);
         if newest != update.incarnation {
@@ -125,7 +126,7 @@
         true
     }
 
-    /// Marks an incarnation dead because a later one answers at its address.
+    /// Marks an incarnation dead because a later one uses its address.
     fn supersede(&mut self, incarnation: id::Incarnation, now: time::Timestamp) {
         self.change(incarnation, |entry| {
             entry.state = members::State::Dead;
@@ -133,22 +134,25 @@
         });
     }
 
-    /// Removes what `forget` names and returns whether anything was removed.
+    /// Removes the entries that `forget` selects, and returns whether there were any.
     pub(crate) fn remove_where(&mut self, forget: impl Fn(&Entry) -> bool) -> bool {
-        let gone: Vec<_> =
-            self.iter().filter(|(_, entry)| forget(entry)).map(|(number, _)| number).collect();
-        for incarnation in &gone {
+        let removed: Vec<_> = self
+            .iter()
+            .filter(|(_, entry)| forget(entry))
+            .map(|(incarnation, _)| incarnation)
+            .collect();
+        for incarnation in &removed {
             self.toggle(*incarnation);
             if let Some(entry) = self.entries.remove(incarnation)
-                && self.latest.get(&entry.place.peer) == Some(incarnation)
+                && self.by_address.get(&entry.place.peer) == Some(incarnation)
             {
-                self.latest.remove(&entry.place.peer);
+                self.by_address.remove(&entry.place.peer);
             }
         }
-        !gone.is_empty()
+        !removed.is_empty()
     }
 
-    /// Changes an entry and keeps the hashes and the count right.
+    /// Changes an entry and updates the hashes and the count.
     fn change(&mut self, incarnation: id::Incarnation, change: impl FnOnce(&mut Entry)) {
         let Some(entry) = self.entries.get(&incarnation) else { return };
         if entry.state.counts() {
@@ -161,7 +165,7 @@
         self.toggle(incarnation);
     }
 
-    /// Adds an entry to the hashes and the count.
+    /// Adds an entry to the hashes and the count, or removes it from the hashes if it was included.
     fn toggle(&mut self, incarnation: id::Incarnation) {
         self.toggle_hashes(incarnation);
         if self.entries.get(&incarnation).is_some_and(|entry| entry.state.counts()) {
@@ -182,6 +186,6 @@
     usize::try_from(mixed % PARTS as u64).unwrap_or(0)
 }
 
-fn short(hash: u64) -> u32 {
+fn shorten(hash: u64) -> u32 {
     u32::try_from(hash >> 32).unwrap_or(0)
 }
--- a/crates/decide/src/members/target.rs
+++ b/crates/decide/src/members/target.rs
@@ -1,14 +1,14 @@
-//! Whom to exchange digests with.
+//! The target of an exchange of digests.
 
 use std::net;
 
 use trefoildyke_types::id;
 
-/// Names the other side of an exchange.
+/// The other side of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A member that the view holds.
+    /// A member of the view.
     Member(id::Incarnation),
-    /// Whoever answers at an address, for joining and for finding lost members again.
+    /// The daemon that answers at an address, for joining and for finding lost members again.
     Address(net::SocketAddr),
 }
--- a/crates/decide/src/members/tree.rs
+++ b/crates/decide/src/members/tree.rs
@@ -1,4 +1,4 @@
-//! The tree over the sorted members by which reports go up.
+//! The aggregation tree over the sorted members, in which reports go up to the root.
 
 use std::collections;
 
@@ -6,23 +6,23 @@
 
 use crate::members;
 
-/// Places the members of one set in a binary tree and keeps what those below have reported.
+/// A binary tree over one set of members, with the reports of this member's children.
 ///
-/// A report counts only if it was made for the same set of members, so members that see different
-/// sets never add up.
+/// A report counts only if it was made for the same set of members, so reports of members that see
+/// different sets are never combined.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tree {
     /// The members that are not dead, sorted; the root comes first.
     order: Vec<id::Incarnation>,
     position: usize,
-    /// The hash of the set that `order` holds.
+    /// The hash of the set in `order`.
     set: u64,
-    /// What children reported, with the hash of the set that they reported for.
+    /// The children's reports, with the hash of the set for which they were made.
     reports: collections::BTreeMap<id::Incarnation, (u64, members::Subtree)>,
 }
 
 impl Tree {
-    /// Places the members anew; reports from members that are children no longer are dropped.
+    /// Rebuilds the tree; reports of members that are no longer children are dropped.
     pub(crate) fn rebuild(&mut self, order: Vec<id::Incarnation>, own: id::Incarnation, set: u64) {
         self.position = order.binary_search(&own).unwrap_or(0);
         self.order = order;
@@ -32,7 +32,7 @@
     }
 
     /// Returns whether the tree was built for the set with hash `set`.
-    pub(crate) fn is_for(&self, set: u64) -> bool {
+    pub(crate) fn is_built_for(&self, set: u64) -> bool {
         !self.order.is_empty() && self.set == set
     }
 
@@ -46,29 +46,36 @@
         self.order.iter().skip(first).take(2).copied().collect()
     }
 
-    /// Notes what a child reported for the set with hash `set`.
-    pub(crate) fn report(&mut self, child: id::Incarnation, set: u64, subtree: members::Subtree) {
+    /// Records a child's report for the set with hash `set`; reports of other members are ignored.
+    pub(crate) fn record_report(
+        &mut self,
+        child: id::Incarnation,
+        set: u64,
+        subtree: members::Subtree,
+    ) {
         if self.children().contains(&child) {
             self.reports.insert(child, (set, subtree));
         }
     }
 
-    /// Returns the sum of this member, at `own`, and of the valid reports below it.
+    /// Returns the combined report of this member, with versions `own`, and of its children's valid
+    /// reports.
     pub(crate) fn subtree(&self, own: members::Versions) -> members::Subtree {
-        let mut sum = members::Subtree { count: 1, versions: own };
-        for (set, below) in self.reports.values() {
+        let mut total = members::Subtree { count: 1, versions: own };
+        for (set, report) in self.reports.values() {
             if *set == self.set {
-                sum.count += below.count;
-                sum.versions = sum.versions.lowest(below.versions);
+                total.count += report.count;
+                total.versions = total.versions.lowest(report.versions);
             }
         }
-        sum
+        total
     }
 
-    /// Returns how far every member has come, if this is the root and all have reported.
+    /// Returns the versions that every member has reached, if this is the root and all have
+    /// reported.
     pub(crate) fn agreed(&self, own: members::Versions) -> Option<members::Versions> {
-        let sum = self.subtree(own);
-        let all = usize::try_from(sum.count).is_ok_and(|count| count == self.order.len());
-        (self.position == 0 && all).then_some(sum.versions)
+        let total = self.subtree(own);
+        let is_complete = usize::try_from(total.count).is_ok_and(|count| count == self.order.len());
+        (self.position == 0 && is_complete).then_some(total.versions)
     }
 }
--- a/crates/decide/src/members/versions.rs
+++ b/crates/decide/src/members/versions.rs
@@ -1,6 +1,6 @@
-//! How far one daemon, or every daemon of a set, has come.
+//! The versions that one daemon, or every daemon of a set, has reached.
 
-/// Says how far the configuration has come, at one daemon or at every daemon of a set.
+/// The versions that one daemon, or every daemon of a set, has reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Versions {
@@ -11,13 +11,13 @@
 }
 
 impl Versions {
-    /// Returns how far both have come.
+    /// Returns the versions that both have reached.
     #[must_use]
     pub fn lowest(self, other: Self) -> Self {
         Self { config: self.config.min(other.config), settled: self.settled.min(other.settled) }
     }
 
-    /// Returns how far either has come.
+    /// Returns the versions that at least one of them has reached.
     #[must_use]
     pub fn highest(self, other: Self) -> Self {
         Self { config: self.config.max(other.config), settled: self.settled.max(other.settled) }
--- a/crates/decide/src/members/view.rs
+++ b/crates/decide/src/members/view.rs
@@ -1,4 +1,4 @@
-//! What one daemon believes about all daemons.
+//! One daemon's view of all daemons.
 
 use std::{cmp, collections};
 
@@ -7,15 +7,15 @@
 
 use crate::members;
 
-/// Holds the members that one daemon knows.
+/// The members that one daemon knows.
 ///
-/// Views of two daemons may differ for a while, so nothing that must hold rests on one: a view only
+/// The views of two daemons may differ for a while, so no guarantee depends on a view: it only
 /// decides who takes a soft role.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// The members in the order of their incarnations, dead ones included until forgotten.
+    /// The members in the order of their incarnations, including dead ones until they are removed.
     pub members: Vec<members::Member>,
-    /// Rises with every change that this daemon sees; it means nothing to another daemon.
+    /// Increases with every change that this daemon sees; it has no meaning for other daemons.
     pub version: u64,
     /// A hash over the incarnations of all members that are not dead; equal for equal sets.
     pub hash: u64,
@@ -35,22 +35,22 @@
 
     /// Returns the member that takes the soft role for `key`, or `None` if no member is alive.
     ///
-    /// Rendezvous hashing: when a member goes, only its own keys move. Costs one short hash for
-    /// each member.
+    /// Uses rendezvous hashing: when a member leaves, only its own keys move. Costs one short hash
+    /// for each member.
     pub fn owner(&self, key: u64) -> Option<&members::Member> {
-        self.alive().max_by_key(|member| rank(member, key))
+        self.alive().max_by_key(|member| score(member, key))
     }
 
     /// Returns at most `count` members for `key`, the owner first, in as many zones as possible.
     pub fn owners(&self, key: u64, count: usize) -> Vec<&members::Member> {
         let mut ranked: Vec<_> = self.alive().collect();
-        ranked.sort_by_key(|member| cmp::Reverse(rank(member, key)));
+        ranked.sort_by_key(|member| cmp::Reverse(score(member, key)));
         // The n-th member of a zone comes after the (n-1)-th of every other zone.
-        let mut taken = collections::HashMap::new();
+        let mut zone_counts = collections::HashMap::new();
         let mut rounds: Vec<_> = ranked
             .into_iter()
             .map(|member| {
-                let round: &mut usize = taken.entry(&member.zone).or_default();
+                let round: &mut usize = zone_counts.entry(&member.zone).or_default();
                 *round += 1;
                 (*round, member)
             })
@@ -60,7 +60,7 @@
     }
 }
 
-fn rank(member: &members::Member, key: u64) -> (u64, id::Incarnation) {
+fn score(member: &members::Member, key: u64) -> (u64, id::Incarnation) {
     let hash = xxh3::xxh3_64_with_seed(&member.incarnation.as_u64().to_le_bytes(), key);
     (hash, member.incarnation)
 }
