--- a/crates/decide/src/members/exchange.rs
+++ b/crates/decide/src/members/exchange.rs
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Reports the subtree to the parent if it has changed.
+    /// Raises the versions in force if this is the root; otherwise reports the subtree to the
+    /// parent if it has changed.
     fn report_subtree(&mut self, now: time::Timestamp, outputs: &mut Vec<members::Output>) {
         if self.may_conclude(now)
             && let Some(agreed) = self.tree.agreed(self.versions)
@@ -228,7 +229,8 @@
         outputs.push(members::Output::Exchange { target, digest });
     }
 
-    /// Returns the update that the target must refute if another member holds it to be dead.
+    /// Returns the update that the target must refute if this daemon's or another member's table
+    /// holds it to be dead.
     fn challenge(&mut self, target: members::Target) -> Option<members::Update> {
         match target {
             members::Target::Member(incarnation) => {
--- a/crates/decide/src/members/failure.rs
+++ b/crates/decide/src/members/failure.rs
@@ -116,11 +116,9 @@
             .table
             .iter()
             .filter(|(_, entry)| entry.state == members::State::Suspect)
-            .filter(|(incarnation, entry)| {
-                *incarnation != self.own && now.since(entry.since) >= limit
-            })
-            .map(|(incarnation, entry)| {
-                let mut update = entry.update(incarnation, false);
+            .filter(|(member, entry)| *member != self.own && now.since(entry.since) >= limit)
+            .map(|(member, entry)| {
+                let mut update = entry.update(member, false);
                 update.state = members::State::Dead;
                 update
             })
--- a/crates/decide/src/members/table.rs
+++ b/crates/decide/src/members/table.rs
@@ -31,8 +31,8 @@
         self.entries.get(&incarnation)
     }
 
-    /// Returns an entry for changing fields other than place, sequence and state, which the hashes
-    /// cover.
+    /// Returns an entry whose place, sequence and state the caller must not change, since the
+    /// hashes, the count and `by_address` depend on them.
     pub(crate) fn get_mut(&mut self, incarnation: id::Incarnation) -> Option<&mut Entry> {
         self.entries.get_mut(&incarnation)
     }
--- a/crates/decide/src/schedule/fleet/endpoint.rs
+++ b/crates/decide/src/schedule/fleet/endpoint.rs
@@ -25,8 +25,8 @@
     pub(in crate::schedule) leaving: bool,
     pub(in crate::schedule) health: fleet::Health,
     pub(in crate::schedule) speed: fleet::Speed,
-    /// The number of permitted requests that have not ended; equals the number in the shard's
-    /// `permitted`.
+    /// The number of permitted requests that have not ended; the shard's `permitted` holds as many
+    /// for this endpoint.
     pub(in crate::schedule) running: u32,
     /// How many of the `running` requests are generating tokens.
     pub(in crate::schedule) streaming: u32,
@@ -38,7 +38,7 @@
     external: u32,
     /// When the outstanding prompts are expected to be processed.
     pub(in crate::schedule) prefill_end: Timestamp,
-    /// When the last first token of any request arrived.
+    /// When the endpoint last generated the first token of an answer.
     last_prefill: Timestamp,
     /// When the last report on the endpoint's requests arrived.
     pub(in crate::schedule) last_report_at: Timestamp,
@@ -50,7 +50,7 @@
     last_end: Timestamp,
     /// The dispatch and end times of recently ended requests, to interpret a late load report.
     ended: collections::VecDeque<(Timestamp, Timestamp)>,
-    last_report: Option<engine::LoadReport>,
+    last_load: Option<engine::LoadReport>,
 }
 
 impl Endpoint {
@@ -77,7 +77,7 @@
             release_gap: estimate::MovingAverage::new(0.1, 1.0, 20.0),
             last_end: now,
             ended: collections::VecDeque::new(),
-            last_report: None,
+            last_load: None,
         }
     }
 
@@ -280,7 +280,7 @@
         let work = |report: &engine::LoadReport| {
             (report.queued_prefill, report.queued_decode, report.running, report.waiting)
         };
-        let before = self.last_report.replace(*report);
+        let before = self.last_load.replace(*report);
         before.is_some_and(|before| work(&before) != work(report))
     }
 }
--- a/crates/decide/src/schedule/fleet/health.rs
+++ b/crates/decide/src/schedule/fleet/health.rs
@@ -15,9 +15,9 @@
 
 /// The health of an endpoint, which works like a circuit breaker.
 ///
-/// `Normal` becomes `Suspended` when the endpoint is slow or silent. `Suspended` becomes `Trial`,
-/// or directly `Normal`, on a sign of recovery. `Trial` becomes `Normal` once the trial request
-/// generates tokens at the usual pace.
+/// `Normal` or `Trial` becomes `Suspended` when the endpoint is slow or silent. `Suspended` becomes
+/// `Trial`, or directly `Normal`, on a sign of recovery. `Trial` becomes `Normal` once the trial
+/// request generates tokens at the usual pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::schedule) enum Health {
     /// The endpoint gets work.
