--- a/crates/decide/src/coordinate/action.rs
+++ b/crates/decide/src/coordinate/action.rs
@@ -1,40 +1,40 @@
-//! What the daemon does for a request.
+//! The actions of a coordinator on behalf of a request.
 
 use trefoildyke_types::{id, request};
 
-/// Holds one thing that the daemon has to do for a request.
+/// An action that the daemon must carry out for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Ask the scheduler for a permit.
     Ask,
-    /// Tell the scheduler that no permit is wanted any more.
+    /// Tell the scheduler that the request no longer needs a permit.
     Withdraw,
-    /// Give an unused permit back to the scheduler.
+    /// Return an unused permit to the scheduler.
     HandBack(request::Permit),
-    /// Create the record if none stands.
+    /// Create the record if none exists.
     Record(request::Record),
     /// Read the record.
     LookUp,
-    /// Send the request to the endpoint; the only action that does.
+    /// Send the request to the endpoint; no other action sends it.
     Dispatch(id::EndpointName),
-    /// Follow the stream at the endpoint on a new connection.
+    /// Continue the answer stream from the endpoint on a new connection.
     Resume {
         /// The endpoint that runs the request.
         endpoint: id::EndpointName,
         /// The number of tokens that have been received.
         offset: u64,
     },
-    /// Follow the answer at the coordinator, which may still be waiting.
+    /// Follow the answer at the coordinator, which may not have dispatched the request yet.
     Attach {
         /// The coordinator.
         coordinator: id::Incarnation,
         /// The number of tokens that have been received.
         offset: u64,
     },
-    /// Cancel the stream at the endpoint, whose answer nobody gets.
+    /// Cancel the stream at the endpoint, because no caller will receive its answer.
     Cancel(id::EndpointName),
-    /// Pass a piece of the answer to the caller.
+    /// Pass a chunk of the answer to the caller.
     Deliver(request::Chunk),
-    /// Give the caller the final refusal at once.
+    /// Send the final refusal to the caller immediately.
     Refuse(request::Refusal),
 }
--- a/crates/decide/src/coordinate/admission.rs
+++ b/crates/decide/src/coordinate/admission.rs
@@ -1,8 +1,8 @@
-//! What becomes of an arriving request.
+//! The decision on an arriving request.
 
 use trefoildyke_types::id;
 
-/// Says whether a dispatch needs a record first.
+/// Whether the intent to dispatch must be recorded before the dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Recording {
     /// The intent must be recorded before the dispatch.
@@ -11,17 +11,17 @@
     Unrecorded,
 }
 
-/// Says how a daemon takes a request.
+/// The way in which a daemon accepts a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Admission {
-    /// Issue an identifier with [`issue`](crate::coordinate::issue) and start.
+    /// Issue an identifier with [`issue`](crate::coordinate::issue) and ask the scheduler for a permit.
     Issue(Recording),
-    /// Start: ask the scheduler.
+    /// Start the request by asking the scheduler for a permit.
     Start(Recording),
-    /// Look the record up first: the request may have been dispatched before.
+    /// Look up the record first, because the request may already have been dispatched.
     LookUp,
-    /// Follow the coordinator that issued the identifier; never dispatch.
+    /// Follow the answer at the coordinator that issued the identifier; never dispatch here.
     Follow(id::Incarnation),
-    /// Follow the request with the same key at this daemon.
+    /// Join the request with the same key that this daemon already has.
     Attach,
 }
--- a/crates/decide/src/coordinate/admit.rs
+++ b/crates/decide/src/coordinate/admit.rs
@@ -1,4 +1,4 @@
-//! The rules by which a daemon takes a request.
+//! Admission: the rules by which a daemon accepts or refuses a request.
 
 use trefoildyke_types::{id, request};
 
@@ -6,9 +6,10 @@
     Admission, Arrival, Conditions, OutagePolicy, Reason, Recording, ServiceState,
 };
 
-/// Creates the identifier of a request that came without one.
+/// Creates the identifier of a request that arrived without one.
 ///
-/// While no record can be written the identifier says so, and no other host ever dispatches it.
+/// With [`Recording::Unrecorded`] the identifier is retry as unrecorded, and no other daemon ever
+/// dispatches the request.
 pub fn issue(uuid: uuid::Uuid, own: id::Incarnation, recording: Recording) -> id::RequestId {
     match recording {
         Recording::Required => id::RequestId::issued(uuid, own),
@@ -16,12 +17,12 @@
     }
 }
 
-/// Decides how a daemon takes a request.
+/// Decides how a daemon accepts a request.
 ///
 /// # Errors
 ///
-/// Returns the refusal if the daemon does not take it. The refusal says `not_run` only for a first
-/// attempt; a request that may be a second attempt is refused with `outcome_unknown`.
+/// Returns the refusal if the daemon does not accept the request. The refusal is `not_run` only for a
+/// first attempt; a request that may be a retry is refused with `outcome_unknown`.
 pub fn admit(arrival: &Arrival, now: &Conditions) -> Result<Admission, request::Refusal> {
     let Some(id) = arrival.id else {
         return admit_without_id(arrival, now);
@@ -35,7 +36,7 @@
     check_age(id, now)?;
     match id.issuer() {
         Some(issuer) => admit_issued(id, issuer, now),
-        None => admit_chosen(id, arrival, now),
+        None => admit_caller_id(id, arrival, now),
     }
 }
 
@@ -43,14 +44,14 @@
     if !arrival.idempotent {
         return Err(Reason::IdRequired.invalid());
     }
-    check_open(now).map_err(Reason::not_run)?;
+    check_accepting(now).map_err(Reason::not_run)?;
     match now.service {
         ServiceState::Up => Ok(Admission::Issue(Recording::Required)),
         ServiceState::Down { .. } => Ok(Admission::Issue(Recording::Unrecorded)),
     }
 }
 
-/// Refuses an identifier whose time is outside the span for which records are kept.
+/// Refuses an identifier whose creation time is in the future or older than the records' retention.
 fn check_age(id: id::RequestId, now: &Conditions) -> Result<(), request::Refusal> {
     let created = id.created_ms();
     if created > now.unix_ms.saturating_add(now.skew_ms) {
@@ -62,7 +63,7 @@
     Ok(())
 }
 
-fn check_open(now: &Conditions) -> Result<(), Reason> {
+fn check_accepting(now: &Conditions) -> Result<(), Reason> {
     if now.isolated {
         return Err(Reason::Isolated);
     }
@@ -72,13 +73,14 @@
     Ok(())
 }
 
-/// An issued identifier always is a second attempt: the issuer has started the first.
+/// Decides on an identifier that a daemon issued, which is always a retry: the issuer has already
+/// started the first attempt.
 fn admit_issued(
     id: id::RequestId,
     issuer: id::Incarnation,
     now: &Conditions,
 ) -> Result<Admission, request::Refusal> {
-    check_open(now).map_err(Reason::unknown)?;
+    check_accepting(now).map_err(Reason::unknown)?;
     let own = issuer == now.own;
     match now.service {
         ServiceState::Up if !id.is_unrecorded() => Ok(Admission::LookUp),
@@ -87,18 +89,18 @@
     }
 }
 
-fn admit_chosen(
+fn admit_caller_id(
     id: id::RequestId,
     arrival: &Arrival,
     now: &Conditions,
 ) -> Result<Admission, request::Refusal> {
-    let marked = arrival.is_marked();
-    let refuse = if marked { Reason::unknown } else { Reason::not_run };
-    check_open(now).map_err(refuse)?;
+    let retry = arrival.is_retry();
+    let refuse = if retry { Reason::unknown } else { Reason::not_run };
+    check_accepting(now).map_err(refuse)?;
     let ServiceState::Down { since_ms } = now.service else {
-        return Ok(if marked { Admission::LookUp } else { Admission::Start(Recording::Required) });
+        return Ok(if retry { Admission::LookUp } else { Admission::Start(Recording::Required) });
     };
-    if marked || id.created_ms() < since_ms {
+    if retry || id.created_ms() < since_ms {
         return Err(Reason::NoProof.unknown());
     }
     match now.policy {
--- a/crates/decide/src/coordinate/answer.rs
+++ b/crates/decide/src/coordinate/answer.rs
@@ -1,11 +1,13 @@
-//! The steps after a dispatch, by this daemon or another: the answer.
+//! The steps after a dispatch by this or another daemon: receiving the answer.
 
 use trefoildyke_types::request;
 
 use crate::coordinate::{Action, Phase, Reason, RequestState};
 
 impl RequestState {
-    /// Passes on what continues the answer; anything else is fetched again.
+    /// Delivers the tokens that continue the answer.
+    ///
+    /// A chunk of another request, or one after a gap, makes the answer be fetched again.
     pub(super) fn chunk(&mut self, mut chunk: request::Chunk) -> Vec<Action> {
         if !matches!(self.phase, Phase::Dispatched { .. } | Phase::Following { .. }) {
             return vec![];
@@ -13,11 +15,11 @@
         if chunk.id != self.opening.key.id || chunk.offset > self.offset {
             return self.stream_lost();
         }
-        if let Phase::Dispatched { heard, .. } = &mut self.phase {
-            *heard = true;
+        if let Phase::Dispatched { has_chunk, .. } = &mut self.phase {
+            *has_chunk = true;
         }
-        let known = usize::try_from(self.offset - chunk.offset).unwrap_or(usize::MAX);
-        chunk.tokens.drain(..known.min(chunk.tokens.len()));
+        let duplicates = usize::try_from(self.offset - chunk.offset).unwrap_or(usize::MAX);
+        chunk.tokens.drain(..duplicates.min(chunk.tokens.len()));
         if chunk.tokens.is_empty() && chunk.finish.is_none() {
             return vec![];
         }
@@ -35,9 +37,9 @@
         }
     }
 
-    /// Follows the answer of the dispatch that the record names.
+    /// Follows the answer to the dispatch that the intent record describes.
     pub(super) fn follow(&mut self, intent: request::Intent) -> Vec<Action> {
-        let mut actions = self.let_go();
+        let mut actions = self.release_permit();
         if intent.fingerprint != self.opening.fingerprint {
             actions.extend(self.refuse(Reason::IdReused.invalid()));
             return actions;
@@ -45,12 +47,12 @@
         let own = intent.coordinator == self.opening.own;
         let coordinator = if own { None } else { Some(intent.coordinator) };
         self.phase = Phase::Following { coordinator, endpoint: Some(intent.endpoint) };
-        actions.extend(self.fetch());
+        actions.extend(self.fetch_rest());
         actions
     }
 
-    /// Asks for the rest of the answer where it can be had.
-    fn fetch(&mut self) -> Vec<Action> {
+    /// Requests the rest of the answer from the coordinator or endpoint that can provide it.
+    fn fetch_rest(&mut self) -> Vec<Action> {
         let offset = self.offset;
         match &self.phase {
             Phase::Following { coordinator: Some(coordinator), .. } => {
@@ -68,7 +70,7 @@
 
     pub(super) fn stream_lost(&mut self) -> Vec<Action> {
         match self.phase {
-            Phase::Dispatched { .. } | Phase::Following { .. } => self.fetch(),
+            Phase::Dispatched { .. } | Phase::Following { .. } => self.fetch_rest(),
             _ => vec![],
         }
     }
@@ -86,25 +88,25 @@
         match &mut self.phase {
             Phase::Following { coordinator, .. } => {
                 *coordinator = None;
-                self.fetch()
+                self.fetch_rest()
             }
             _ => vec![],
         }
     }
 
-    /// Passes the coordinator's refusal on.
+    /// Passes on the refusal of the coordinator that is followed.
     ///
-    /// Its `not_run` holds if nobody else may dispatch: the record is its own, or the identifier is
-    /// unrecorded. Otherwise the identifier is closed first.
+    /// Its `not_run` is valid as it is if no other daemon may dispatch: the coordinator owns the record,
+    /// or the identifier is unrecorded. Otherwise the identifier is closed first.
     pub(super) fn coordinator_refused(&mut self, refusal: request::Refusal) -> Vec<Action> {
         let Phase::Following { endpoint, .. } = &self.phase else {
             return vec![];
         };
-        let alone = endpoint.is_some() || self.opening.key.id.is_unrecorded();
-        if alone || refusal.kind != request::RefusalKind::NotRun {
+        let exclusive = endpoint.is_some() || self.opening.key.id.is_unrecorded();
+        if exclusive || refusal.kind != request::RefusalKind::NotRun {
             return self.refuse(refusal);
         }
-        self.refuse_waiting(refusal)
+        self.close_and_refuse(refusal)
     }
 
     pub(super) fn endpoint_failed(&mut self, refusal: request::Refusal) -> Vec<Action> {
@@ -114,10 +116,10 @@
         }
     }
 
-    /// Looks for another endpoint: nothing was sent and the right to dispatch still stands.
+    /// Asks for another endpoint: nothing was sent, and this daemon still has the right to dispatch.
     pub(super) fn connect_failed(&mut self) -> Vec<Action> {
         match self.phase {
-            Phase::Dispatched { heard: false, .. } => {
+            Phase::Dispatched { has_chunk: false, .. } => {
                 self.phase = Phase::Recorded;
                 vec![Action::Ask]
             }
--- a/crates/decide/src/coordinate/arrival.rs
+++ b/crates/decide/src/coordinate/arrival.rs
@@ -4,23 +4,23 @@
 
 use crate::coordinate;
 
-/// Holds what admission has to know of an arriving request.
+/// The properties of an arriving request on which admission depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Arrival {
     /// The caller's identifier, if there is one.
     pub id: Option<id::RequestId>,
-    /// Whether running the request twice does no harm.
+    /// Whether the request may safely run twice.
     pub idempotent: bool,
-    /// The attempt as the caller counts it, from 1.
+    /// The number of the attempt as counted by the caller, starting at 1.
     pub attempt: u32,
-    /// The first output offset that the caller has not got yet.
+    /// The first output offset that the caller has not received yet, in tokens.
     pub offset: u64,
-    /// The fingerprint of the body.
+    /// The fingerprint of the request body.
     pub fingerprint: u64,
 }
 
 impl Arrival {
-    /// Creates the arrival of a caller's request.
+    /// Creates the arrival of a caller's request, with the fingerprint of its body.
     pub fn new(spec: &request::RequestSpec) -> Self {
         Self {
             id: spec.id,
@@ -31,15 +31,15 @@
         }
     }
 
-    /// Returns whether the caller says that it has sent the request before.
-    pub const fn is_marked(&self) -> bool {
+    /// Returns whether the caller marked the request as a retry.
+    pub const fn is_retry(&self) -> bool {
         self.attempt > 1 || self.offset > 0
     }
 
     /// Returns whether the request may have been started before.
     ///
-    /// An issued identifier always was: its issuer started it.
+    /// This always holds for an issued identifier, because its issuer started the request.
     pub fn may_be_second(&self) -> bool {
-        self.is_marked() || self.id.is_some_and(|id| id.issuer().is_some())
+        self.is_retry() || self.id.is_some_and(|id| id.issuer().is_some())
     }
 }
--- a/crates/decide/src/coordinate/fingerprint.rs
+++ b/crates/decide/src/coordinate/fingerprint.rs
@@ -1,11 +1,11 @@
-//! The fingerprint by which a second body under one identifier is recognised.
+//! The fingerprint that detects a different request body under an identifier that is already in use.
 
 use trefoildyke_types::request;
 use xxhash_rust::xxh3;
 
-/// Returns the fingerprint of what a request asks for, the same on every host.
+/// Returns a hash of the request's content, which is the same on every host.
 ///
-/// Attempt, offset and deadline may differ between attempts and are left out.
+/// The attempt number, the offset and the deadline are left out because they may differ between attempts.
 pub fn fingerprint(spec: &request::RequestSpec) -> u64 {
     let mut hasher = xxh3::Xxh3::new();
     let (kind, target) = match &spec.target {
--- a/crates/decide/src/coordinate/input.rs
+++ b/crates/decide/src/coordinate/input.rs
@@ -1,80 +1,81 @@
-//! What can happen to a request at its coordinator.
+//! The events that a coordinator handles for a request.
 
 use trefoildyke_types::{request, time};
 
-/// Holds the two clocks at one moment.
+/// The readings of the monotonic clock and the wall clock at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Now {
-    /// The daemon's monotonic clock.
+    /// The time on the daemon's monotonic clock.
     pub mono: time::Timestamp,
-    /// The wall clock, in milliseconds since the Unix epoch.
+    /// The wall-clock time, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// Holds the outcome of reading a record.
+/// The outcome of reading a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LookUp {
-    /// The record stands.
+    /// The record exists.
     Found(request::Record),
-    /// No record stands.
+    /// No record exists.
     Absent,
     /// The record could not be read.
     Unavailable,
 }
 
-/// Holds the outcome of writing a record.
+/// The outcome of writing a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RecordOutcome {
-    /// The record stands as written.
+    /// The record was created and exists as written.
     Created,
-    /// Another record stood before.
+    /// Another record already existed.
     Exists(request::Record),
-    /// The record may or may not stand, now or later.
+    /// It is unknown whether the record exists now or will exist later.
     Unsure,
-    /// The record was not written and never will be.
+    /// The record was not written, and this write will never take effect.
     Unavailable,
 }
 
-/// Holds one thing that happens to a request.
+/// An event for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// The record was read.
     LookedUp(LookUp),
     /// The scheduler granted a permit.
     Permit(request::Permit),
-    /// The scheduler granted a permit whose endpoint, as this daemon knows, takes no new work.
+    /// The scheduler granted a permit that must not be used.
     ///
-    /// A permit may have been under way for long. Also if this daemon's own knowledge is too old
-    /// to say, after a pause or when cut off.
+    /// Either this daemon knows that the endpoint accepts no new work, which happens if the permit was
+    /// delayed on its way; or this daemon's own information is out of date, after a pause or while it
+    /// is isolated.
     UnusablePermit(request::Permit),
-    /// The scheduler refused: the request is shed.
+    /// The scheduler shed the request.
     Shed(request::Refusal),
-    /// The record was written, or not.
+    /// The attempt to write the record ended.
     Recorded(RecordOutcome),
-    /// The endpoint could not be connected and nothing was sent.
+    /// The connection to the endpoint could not be opened, and nothing was sent.
     ConnectFailed,
-    /// A piece of an answer came.
+    /// A chunk of an answer arrived.
     Chunk(request::Chunk),
     /// The endpoint reported that it failed.
     EndpointFailed(request::Refusal),
-    /// The stream ended or went silent without its last chunk.
+    /// The stream ended or stalled before its last chunk.
     StreamLost,
-    /// The endpoint does not know the stream or cannot be reached any more.
+    /// The endpoint does not know the stream or can no longer be reached.
     ResumeFailed,
-    /// The coordinator that is followed is gone or does not know the request.
+    /// The coordinator that is followed has stopped or does not know the request.
     AttachFailed,
     /// The coordinator that is followed refused the request.
     Refused(request::Refusal),
     /// The deadline passed.
     DeadlinePassed,
-    /// The caller's connection ended.
+    /// The caller closed its connection.
     CallerGone,
     /// The daemon is being stopped.
     Stop,
-    /// The daemon reaches neither the key-value service nor any peer.
+    /// The daemon can reach neither the key-value service nor any peer.
     Isolated,
-    /// The endpoint of the permit that is held takes no new work any more.
+    /// The endpoint of the held permit no longer accepts new work.
     EndpointLeaving,
-    /// The daemon was paused; what it knew of its surroundings may be old.
+    /// The daemon was paused, so its information about its surroundings may be out of date.
     Paused,
 }
--- a/crates/decide/src/coordinate/mod.rs
+++ b/crates/decide/src/coordinate/mod.rs
@@ -1,8 +1,9 @@
-//! The coordinator's decisions: which requests it takes, and every step of one request.
+//! The coordinator's decisions: admission of requests and the state machine of one request.
 //!
-//! The coordinator is the daemon that accepted a request and the only process that sends it to an
-//! endpoint. [`admit`] says what becomes of an arriving request; [`RequestState::step`] is the one
-//! function that moves a request. The model checker explores these same functions.
+//! The coordinator is the daemon that accepted a request. It is the only process that sends the request
+//! to an endpoint. [`admit`] decides whether and how an arriving request is accepted.
+//! [`RequestState::step`] is the only function that changes the state of a request. The model checker
+//! explores these same functions.
 
 mod action;
 mod admission;
@@ -24,6 +25,6 @@
 pub use conditions::{Conditions, Local, OutagePolicy, ServiceState};
 pub use fingerprint::fingerprint;
 pub use input::{Input, LookUp, Now, RecordOutcome};
-pub use phase::{Held, Phase, Waiting};
+pub use phase::{HeldPermit, Phase, Waiting};
 pub use reason::Reason;
 pub use request_state::{Opening, RequestState};
--- a/crates/decide/src/coordinate/phase.rs
+++ b/crates/decide/src/coordinate/phase.rs
@@ -2,58 +2,59 @@
 
 use trefoildyke_types::{id, request, time};
 
-/// Holds a permit and how long it holds.
+/// A permit with its expiry time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct HeldPermit {
     /// The permit.
     pub permit: request::Permit,
-    /// The end of the permit on the monotonic clock.
-    pub until: time::Timestamp,
+    /// When the permit expires, on the monotonic clock.
+    pub expiry: time::Timestamp,
 }
 
-/// Says what a request that is not yet recorded waits for.
+/// The event that a request waits for before its intent is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Waiting {
-    /// The record, before anything else.
+    /// The first read of the record.
     LookUp,
-    /// The permit.
+    /// The scheduler's permit.
     Permit,
-    /// The writing of the intent.
-    Record(Held),
-    /// The record after a write of unknown outcome.
-    ReadBack(Held),
-    /// The writing of the record that closes the identifier before the refusal.
+    /// The write of the intent record.
+    Record(HeldPermit),
+    /// The read of the record after a write with an unknown outcome.
+    ReadBack(HeldPermit),
+    /// The write of the record that closes the identifier before the refusal is sent.
     Close(request::Refusal),
 }
 
-/// Names the phase of a request at one daemon.
+/// The phase of a request at one daemon.
 ///
-/// It goes from `Waiting` to `Recorded`, `Dispatched` and `Answered`, or to `Refused`; or it
-/// follows the answer to a dispatch of another daemon.
+/// A request moves from `Waiting` to `Recorded`, `Dispatched` and `Answered`, or to `Refused`. In
+/// `Following` it receives the answer to a dispatch by another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Nothing was dispatched by this daemon.
+    /// This daemon has not dispatched the request.
     Waiting(Waiting),
-    /// This daemon alone may dispatch, but has no permit that holds.
+    /// Only this daemon may dispatch, but it has no valid permit.
     Recorded,
-    /// This daemon has dispatched; it never does so again.
+    /// This daemon has dispatched the request. It dispatches again only if the connection could not be
+    /// opened and nothing was sent.
     Dispatched {
-        /// Where the request runs.
+        /// The endpoint that runs the request.
         endpoint: id::EndpointName,
-        /// Whether any part of an answer has come.
-        heard: bool,
+        /// Whether any chunk of the answer has arrived.
+        has_chunk: bool,
     },
-    /// Another daemon may have dispatched; this one never will.
+    /// Another daemon may have dispatched the request; this daemon never will.
     Following {
-        /// The coordinator, while it may still live.
+        /// The coordinator, while it may still be running.
         coordinator: Option<id::Incarnation>,
         /// The endpoint, if it is known.
         endpoint: Option<id::EndpointName>,
     },
-    /// The whole answer was passed on.
+    /// The complete answer was passed on to the caller.
     Answered,
-    /// The final refusal was given.
+    /// The final refusal was sent to the caller.
     Refused(request::RefusalKind),
-    /// The caller left before the dispatch; nobody was told anything.
+    /// The caller disconnected before the dispatch; no answer or refusal was sent.
     Abandoned,
 }
--- a/crates/decide/src/coordinate/reason.rs
+++ b/crates/decide/src/coordinate/reason.rs
@@ -1,41 +1,43 @@
-//! Why the coordinator refuses, and the remedy.
+//! The reasons for which the coordinator refuses a request, and their remedies.
 
 use trefoildyke_types::request;
 
-const SOON_MS: u64 = 200;
-const OUTAGE_MS: u64 = 1_000;
+/// The retry delay for reasons that concern only this daemon or this attempt, in milliseconds.
+const SHORT_RETRY_MS: u64 = 200;
+/// The retry delay during an outage of the key-value service, in milliseconds.
+const OUTAGE_RETRY_MS: u64 = 1_000;
 
-/// Names a cause for which the coordinator refuses a request.
+/// A reason for which the coordinator refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// A non-idempotent request came without an identifier.
+    /// A non-idempotent request has no identifier.
     IdRequired,
-    /// The identifier stands for a request with another body.
+    /// The identifier is already used for a request with another body.
     IdReused,
-    /// The identifier's time lies ahead.
+    /// The identifier's creation time is in the future.
     IdFromFuture,
     /// The identifier is older than the retention of records.
     IdTooOld,
     /// The identifier was closed by a refusal.
     IdClosed,
-    /// The record that must precede a dispatch cannot be written.
+    /// The record that is required before a dispatch cannot be written.
     RecordUnavailable,
-    /// Whether the request was dispatched before cannot be found out.
+    /// It cannot be determined whether the request was dispatched before.
     NoProof,
-    /// The daemon reaches neither the key-value service nor any peer.
+    /// The daemon can reach neither the key-value service nor any peer.
     Isolated,
     /// The daemon is being stopped.
     Stopping,
     /// The deadline passed.
     Deadline,
-    /// The answer cannot be followed any more.
+    /// The answer can no longer be received.
     AnswerLost,
     /// The answer was cancelled at the endpoint.
     Cancelled,
 }
 
 impl Reason {
-    /// Returns the stable word for programs.
+    /// Returns the stable, machine-readable reason code.
     pub const fn word(self) -> &'static str {
         match self {
             Self::IdRequired => "id_required",
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Returns what the caller can do about it.
+    /// Returns the remedy that the refusal suggests to the caller.
     pub const fn remedy(self) -> &'static str {
         match self {
             Self::IdRequired => {
@@ -85,27 +87,27 @@
         }
     }
 
-    /// Returns the refusal of the given kind for this cause.
+    /// Returns a refusal of the given kind for this reason.
     pub fn refuse(self, kind: request::RefusalKind) -> request::Refusal {
         let refusal = request::Refusal::new(kind, self.word(), self.remedy());
         match self {
-            Self::RecordUnavailable | Self::NoProof => refusal.retry_after(OUTAGE_MS),
-            Self::Isolated | Self::Stopping | Self::Deadline => refusal.retry_after(SOON_MS),
+            Self::RecordUnavailable | Self::NoProof => refusal.retry_after(OUTAGE_RETRY_MS),
+            Self::Isolated | Self::Stopping | Self::Deadline => refusal.retry_after(SHORT_RETRY_MS),
             _ => refusal,
         }
     }
 
-    /// Returns the refusal that says that nothing ran.
+    /// Returns the refusal which states that the request did not run.
     pub fn not_run(self) -> request::Refusal {
         self.refuse(request::RefusalKind::NotRun)
     }
 
-    /// Returns the refusal that says that the outcome is unknown.
+    /// Returns the refusal which states that the outcome of the request is unknown.
     pub fn unknown(self) -> request::Refusal {
         self.refuse(request::RefusalKind::OutcomeUnknown)
     }
 
-    /// Returns the refusal that says that the request itself is at fault.
+    /// Returns the refusal which states that the request itself is invalid.
     pub fn invalid(self) -> request::Refusal {
         self.refuse(request::RefusalKind::Invalid)
     }
--- a/crates/decide/src/coordinate/record.rs
+++ b/crates/decide/src/coordinate/record.rs
@@ -1,34 +1,34 @@
-//! The steps up to the dispatch: look-up, permit and record.
+//! The steps before the dispatch: look-up, permit and record.
 
 use std::time;
 
 use trefoildyke_types::request;
 
 use crate::coordinate::{
-    Action, Held, LookUp, Now, Phase, Reason, RecordOutcome, Recording, RequestState, Waiting,
+    Action, HeldPermit, LookUp, Now, Phase, Reason, RecordOutcome, Recording, RequestState, Waiting,
 };
 
 impl RequestState {
     pub(super) fn looked_up(&mut self, now: Now, outcome: LookUp) -> Vec<Action> {
         match (&self.phase, outcome) {
-            (Phase::Waiting(Waiting::LookUp), LookUp::Found(record)) => self.found(now, record),
+            (Phase::Waiting(Waiting::LookUp), LookUp::Found(record)) => self.resolve(now, record),
             (Phase::Waiting(Waiting::LookUp), LookUp::Absent) => self.ask(),
-            (Phase::Waiting(Waiting::LookUp), LookUp::Unavailable) => self.no_proof(),
+            (Phase::Waiting(Waiting::LookUp), LookUp::Unavailable) => self.follow_issuer(),
             (Phase::Waiting(Waiting::ReadBack(_)), LookUp::Found(record)) => {
-                self.found(now, record)
+                self.resolve(now, record)
             }
             (Phase::Waiting(Waiting::ReadBack(held)), LookUp::Absent) => {
                 let held = held.clone();
                 self.record(held)
             }
-            (Phase::Waiting(Waiting::ReadBack(_)), LookUp::Unavailable) => self.not_recorded(),
+            (Phase::Waiting(Waiting::ReadBack(_)), LookUp::Unavailable) => self.refuse_unrecorded(),
             _ => vec![],
         }
     }
 
     pub(super) fn permitted(&mut self, now: Now, permit: request::Permit) -> Vec<Action> {
-        let until = now.mono + time::Duration::from_millis(permit.ttl_ms);
-        let held = Held { permit, until };
+        let expiry = now.mono + time::Duration::from_millis(permit.ttl_ms);
+        let held = HeldPermit { permit, expiry };
         match (&self.phase, self.recording) {
             (Phase::Waiting(Waiting::Permit), Recording::Required) => self.record(held),
             (Phase::Waiting(Waiting::Permit), Recording::Unrecorded) | (Phase::Recorded, _) => {
@@ -43,10 +43,10 @@
             Phase::Waiting(Waiting::Record(held)) => {
                 let held = held.clone();
                 match outcome {
-                    RecordOutcome::Created => self.own_record(now, held),
-                    RecordOutcome::Exists(record) => self.found(now, record),
+                    RecordOutcome::Created => self.dispatch_recorded(now, held),
+                    RecordOutcome::Exists(record) => self.resolve(now, record),
                     RecordOutcome::Unsure => self.read_back(held),
-                    RecordOutcome::Unavailable => self.not_recorded(),
+                    RecordOutcome::Unavailable => self.refuse_unrecorded(),
                 }
             }
             Phase::Waiting(Waiting::Close(refusal)) => {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn record(&mut self, held: Held) -> Vec<Action> {
+    fn record(&mut self, held: HeldPermit) -> Vec<Action> {
         let intent = request::Intent {
             coordinator: self.opening.own,
             nonce: self.opening.nonce,
@@ -68,39 +68,41 @@
         vec![Action::Record(request::Record::Intent(intent))]
     }
 
-    fn read_back(&mut self, held: Held) -> Vec<Action> {
+    fn read_back(&mut self, held: HeldPermit) -> Vec<Action> {
         self.phase = Phase::Waiting(Waiting::ReadBack(held));
         vec![Action::LookUp]
     }
 
-    /// Acts on the record that stands; only the nonce tells the daemon's own from another's.
-    fn found(&mut self, now: Now, record: request::Record) -> Vec<Action> {
+    /// Handles an existing record.
+    ///
+    /// Only the nonce tells whether this daemon or another one wrote the record.
+    fn resolve(&mut self, now: Now, record: request::Record) -> Vec<Action> {
         let own = record.nonce() == self.opening.nonce;
         match (&self.phase, record) {
             (Phase::Waiting(Waiting::Record(held) | Waiting::ReadBack(held)), _) if own => {
                 let held = held.clone();
-                self.own_record(now, held)
+                self.dispatch_recorded(now, held)
             }
             (_, request::Record::Intent(intent)) => self.follow(intent),
             (_, request::Record::Closed { .. }) => {
-                let mut actions = self.let_go();
+                let mut actions = self.release_permit();
                 actions.extend(self.refuse(Reason::IdClosed.not_run()));
                 actions
             }
         }
     }
 
-    /// Dispatches, now that this daemon alone may.
+    /// Dispatches the request after this daemon's own record was created.
     ///
-    /// Records are deleted by the identifier's age, so one that is created for an identifier past
-    /// its retention proves nothing.
-    fn own_record(&mut self, now: Now, held: Held) -> Vec<Action> {
+    /// Records are deleted by the age of the identifier. A record created for an identifier that is
+    /// older than the retention therefore does not prove that no other record existed before.
+    fn dispatch_recorded(&mut self, now: Now, held: HeldPermit) -> Vec<Action> {
         if self.is_too_old(now) {
-            let mut actions = self.let_go();
+            let mut actions = self.release_permit();
             actions.extend(self.refuse(Reason::IdTooOld.unknown()));
             return actions;
         }
-        if now.mono < held.until {
+        if now.mono < held.expiry {
             return self.dispatch(held);
         }
         self.phase = Phase::Recorded;
@@ -112,9 +114,9 @@
         age_ms > self.opening.retention_ms
     }
 
-    fn dispatch(&mut self, held: Held) -> Vec<Action> {
+    fn dispatch(&mut self, held: HeldPermit) -> Vec<Action> {
         let endpoint = held.permit.endpoint;
-        self.phase = Phase::Dispatched { endpoint: endpoint.clone(), heard: false };
+        self.phase = Phase::Dispatched { endpoint: endpoint.clone(), has_chunk: false };
         vec![Action::Dispatch(endpoint)]
     }
 
@@ -123,8 +125,10 @@
         vec![Action::Ask]
     }
 
-    /// Without the record's word, only the issuer named in the identifier can know more.
-    fn no_proof(&mut self) -> Vec<Action> {
+    /// Follows the issuer of the identifier, or refuses the request if no other daemon issued it.
+    ///
+    /// While the record cannot be read, only the issuer can know whether the request was dispatched.
+    fn follow_issuer(&mut self) -> Vec<Action> {
         match self.opening.key.id.issuer() {
             Some(issuer) if issuer != self.opening.own => {
                 let offset = self.offset;
@@ -135,12 +139,12 @@
         }
     }
 
-    /// Ends a request whose intent cannot be written now.
+    /// Refuses a request whose intent cannot be recorded.
     ///
-    /// The write may yet take effect, but only this daemon could dispatch under its nonce and it
-    /// no longer does.
-    fn not_recorded(&mut self) -> Vec<Action> {
-        let mut actions = self.let_go();
+    /// The write may still take effect later. That is safe, because only this daemon could dispatch
+    /// under its nonce, and this daemon no longer does.
+    fn refuse_unrecorded(&mut self) -> Vec<Action> {
+        let mut actions = self.release_permit();
         let refusal = match self.opening.second {
             true => Reason::NoProof.unknown(),
             false => Reason::RecordUnavailable.not_run(),
@@ -149,7 +153,7 @@
         actions
     }
 
-    /// Refuses, now that the identifier is closed, or cannot be.
+    /// Refuses the request after the attempt to close its identifier.
     fn closed(
         &mut self,
         now: Now,
--- a/crates/decide/src/coordinate/request_state.rs
+++ b/crates/decide/src/coordinate/request_state.rs
@@ -1,37 +1,42 @@
-//! The one type that holds a request at a daemon, and the one function that moves it.
+//! The state machine of one request at a daemon.
 
 use trefoildyke_types::{id, request, time};
 
 use crate::coordinate::{Action, Admission, Input, Now, Phase, Reason, Recording, Waiting};
 
-/// Holds what a request starts with.
+/// The initial values of a request's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Opening {
-    /// The request.
+    /// The request's key.
     pub key: id::RequestKey,
-    /// The fingerprint of its body.
+    /// The fingerprint of the request body.
     pub fingerprint: u64,
     /// This daemon's incarnation.
     pub own: id::Incarnation,
-    /// A random mark, drawn for this request at this daemon and used for every record it writes.
+    /// A random number drawn for this request at this daemon, stored in every record that it writes.
     pub nonce: id::Nonce,
-    /// Whether the caller marked the request as a retry or the identifier came back to be issued.
+    /// Whether the request may be a retry: the caller marked it as one, or a daemon issued its identifier
+    /// before.
     pub second: bool,
-    /// Whether the endpoint can be asked for a stream again.
+    /// Whether the endpoint can resume a stream.
     pub resumable: bool,
-    /// The first output offset that the caller has not got yet.
+    /// The first output offset that the caller has not received yet, in tokens.
     pub offset: u64,
     /// How long after its creation an identifier can be used, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// Holds one request at one daemon, from its admission to its final answer.
+/// The state of one request at one daemon, from its admission to its final answer.
 ///
-/// Invariants: [`Action::Dispatch`] is returned only while the daemon's own record stands or none
-/// is required, and again only after [`Input::ConnectFailed`], which promises that nothing was
-/// sent. A `not_run` refusal of a possible second attempt is returned only after the daemon's own
-/// record stands. Once [`Self::is_final`] no action is returned but the handing
-/// back of a late permit.
+/// Invariants:
+///
+/// - [`Action::Dispatch`] is returned only while the daemon's own record exists or no record is
+///   required. It is returned again only after [`Input::ConnectFailed`], which guarantees that
+///   nothing was sent.
+/// - A `not_run` refusal of a possible retry is returned only if a record excludes a dispatch by any
+///   other daemon (this daemon's own record or a `Closed` record), if no record is required, or if the
+///   refusal is from the followed coordinator and no other daemon may dispatch.
+/// - Once [`Self::is_final`] holds, the only action returned is [`Action::HandBack`] for a late permit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestState {
     pub(super) opening: Opening,
@@ -41,9 +46,9 @@
 }
 
 impl RequestState {
-    /// Starts a request as [`admit`](crate::coordinate::admit) decided; returns what to do first.
+    /// Starts a request as [`admit`](crate::coordinate::admit) decided; returns the first actions.
     ///
-    /// [`Admission::Attach`] starts no request: the caller joins the one that is there.
+    /// For [`Admission::Attach`] call [`Self::join`] on the existing request instead.
     pub fn start(opening: Opening, admission: Admission) -> (Self, Vec<Action>) {
         let (recording, phase, action) = match admission {
             Admission::Issue(recording) | Admission::Start(recording) => {
@@ -62,7 +67,7 @@
         (Self { opening, recording, offset, phase }, vec![action])
     }
 
-    /// Returns the phase.
+    /// Returns the phase of the request.
     pub const fn phase(&self) -> &Phase {
         &self.phase
     }
@@ -77,14 +82,14 @@
         self.opening.fingerprint
     }
 
-    /// Returns the mark of the records that the request writes.
+    /// Returns the nonce of the records that the request writes.
     pub const fn nonce(&self) -> id::Nonce {
         self.opening.nonce
     }
 
-    /// Takes note that a caller joined; if `second`, other daemons may know the identifier too.
+    /// Registers that a caller joined; if `second`, other daemons may know the identifier too.
     ///
-    /// Called on [`Admission::Attach`] with
+    /// The argument on [`Admission::Attach`] is
     /// [`Arrival::may_be_second`](crate::coordinate::Arrival::may_be_second).
     pub const fn join(&mut self, second: bool) {
         self.opening.second |= second;
@@ -95,25 +100,25 @@
         self.opening.second
     }
 
-    /// Returns the number of tokens that have been received in order.
+    /// Returns the output offset, in tokens, up to which the answer has been received in order.
     pub const fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Returns whether nothing more happens to the request here.
+    /// Returns whether the request has reached a final phase at this daemon.
     pub const fn is_final(&self) -> bool {
         matches!(self.phase, Phase::Answered | Phase::Refused(_) | Phase::Abandoned)
     }
 
-    /// Moves the request by what happened; returns what to do, in order.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Action> {
         if self.is_final() {
-            return hand_back(input);
+            return return_late_permit(input);
         }
         match input {
             Input::LookedUp(outcome) => self.looked_up(now, outcome),
             Input::Permit(permit) => self.permitted(now, permit),
-            Input::UnusablePermit(permit) => self.refuse_permit(permit),
+            Input::UnusablePermit(permit) => self.return_permit(permit),
             Input::Shed(refusal) => self.shed(refusal),
             Input::Recorded(outcome) => self.recorded(now, outcome),
             Input::ConnectFailed => self.connect_failed(),
@@ -123,20 +128,20 @@
             Input::ResumeFailed => self.resume_failed(),
             Input::AttachFailed => self.attach_failed(),
             Input::Refused(refusal) => self.coordinator_refused(refusal),
-            Input::DeadlinePassed => self.give_up(Reason::Deadline),
+            Input::DeadlinePassed => self.abort(Reason::Deadline),
             Input::CallerGone => self.caller_gone(),
-            Input::Stop => self.stop_waiting(Reason::Stopping),
-            Input::Isolated => self.stop_waiting(Reason::Isolated),
-            Input::Paused | Input::EndpointLeaving => self.void_permit(),
+            Input::Stop => self.abort_undispatched(Reason::Stopping),
+            Input::Isolated => self.abort_undispatched(Reason::Isolated),
+            Input::Paused | Input::EndpointLeaving => self.expire_permit(),
         }
     }
 
-    /// Ends a request that was not dispatched, or whose answer does not come in time.
-    pub(super) fn give_up(&mut self, reason: Reason) -> Vec<Action> {
+    /// Refuses a request that was not dispatched or whose answer does not arrive in time.
+    pub(super) fn abort(&mut self, reason: Reason) -> Vec<Action> {
         match &self.phase {
             Phase::Waiting(Waiting::Close(_)) => vec![],
-            Phase::Waiting(_) => self.refuse_waiting(reason.not_run()),
-            Phase::Recorded => self.refuse_withdrawn(reason.not_run()),
+            Phase::Waiting(_) => self.close_and_refuse(reason.not_run()),
+            Phase::Recorded => self.withdraw_and_refuse(reason.not_run()),
             Phase::Dispatched { endpoint, .. } => {
                 let cancel = Action::Cancel(endpoint.clone());
                 let mut actions = vec![cancel];
@@ -148,9 +153,9 @@
         }
     }
 
-    /// Refuses a request that waits; a possible second attempt is closed first.
-    pub(super) fn refuse_waiting(&mut self, refusal: request::Refusal) -> Vec<Action> {
-        let mut actions = self.let_go();
+    /// Refuses a waiting request; the identifier of a possible retry is closed first.
+    pub(super) fn close_and_refuse(&mut self, refusal: request::Refusal) -> Vec<Action> {
+        let mut actions = self.release_permit();
         if !self.opening.second {
             actions.extend(self.refuse(refusal));
             return actions;
@@ -160,20 +165,20 @@
         actions
     }
 
-    fn refuse_withdrawn(&mut self, refusal: request::Refusal) -> Vec<Action> {
-        let mut actions = self.let_go();
+    fn withdraw_and_refuse(&mut self, refusal: request::Refusal) -> Vec<Action> {
+        let mut actions = self.release_permit();
         actions.extend(self.refuse(refusal));
         actions
     }
 
-    /// Gives the final refusal.
+    /// Moves to the final refusal and returns the action that sends it.
     pub(super) fn refuse(&mut self, refusal: request::Refusal) -> Vec<Action> {
         self.phase = Phase::Refused(refusal.kind);
         vec![Action::Refuse(refusal)]
     }
 
-    /// Gives up the permit that is held or asked for.
-    pub(super) fn let_go(&self) -> Vec<Action> {
+    /// Returns the actions that give up the permit which is held or requested.
+    pub(super) fn release_permit(&self) -> Vec<Action> {
         match &self.phase {
             Phase::Waiting(Waiting::Permit) | Phase::Recorded => vec![Action::Withdraw],
             Phase::Waiting(Waiting::Record(held) | Waiting::ReadBack(held)) => {
@@ -186,7 +191,7 @@
     fn shed(&mut self, refusal: request::Refusal) -> Vec<Action> {
         match self.phase {
             Phase::Waiting(Waiting::Permit) => {
-                let mut actions = self.refuse_waiting(refusal);
+                let mut actions = self.close_and_refuse(refusal);
                 actions.retain(|action| *action != Action::Withdraw);
                 actions
             }
@@ -198,7 +203,7 @@
     fn caller_gone(&mut self) -> Vec<Action> {
         match self.phase {
             Phase::Waiting(Waiting::LookUp | Waiting::Permit) => {
-                let actions = self.let_go();
+                let actions = self.release_permit();
                 self.phase = Phase::Abandoned;
                 actions
             }
@@ -206,16 +211,16 @@
         }
     }
 
-    /// Ends a request that was not dispatched and that this daemon can no longer dispatch.
-    fn stop_waiting(&mut self, reason: Reason) -> Vec<Action> {
+    /// Refuses a request that was not dispatched and that this daemon can no longer dispatch.
+    fn abort_undispatched(&mut self, reason: Reason) -> Vec<Action> {
         match self.phase {
-            Phase::Waiting(_) | Phase::Recorded => self.give_up(reason),
+            Phase::Waiting(_) | Phase::Recorded => self.abort(reason),
             _ => vec![],
         }
     }
 
-    /// Gives a permit back unused and asks for another.
-    fn refuse_permit(&mut self, permit: request::Permit) -> Vec<Action> {
+    /// Returns an unusable permit and asks for another one if the request still needs it.
+    fn return_permit(&mut self, permit: request::Permit) -> Vec<Action> {
         let mut actions = vec![Action::HandBack(permit)];
         if matches!(self.phase, Phase::Waiting(Waiting::Permit) | Phase::Recorded) {
             actions.push(Action::Ask);
@@ -223,17 +228,17 @@
         actions
     }
 
-    /// Lets the permit that is held count as expired, so that another is asked for.
-    fn void_permit(&mut self) -> Vec<Action> {
+    /// Marks the held permit as expired, so that the request asks for another one.
+    fn expire_permit(&mut self) -> Vec<Action> {
         if let Phase::Waiting(Waiting::Record(held) | Waiting::ReadBack(held)) = &mut self.phase {
-            held.until = time::Timestamp::ZERO;
+            held.expiry = time::Timestamp::ZERO;
         }
         vec![]
     }
 }
 
-/// A permit that comes after the end is given back; everything else comes too late.
-fn hand_back(input: Input) -> Vec<Action> {
+/// Returns a permit that arrives after the end of the request; ignores every other event.
+fn return_late_permit(input: Input) -> Vec<Action> {
     match input {
         Input::Permit(permit) | Input::UnusablePermit(permit) => vec![Action::HandBack(permit)],
         _ => vec![],
--- a/crates/decide/tests/testsuite/coordinate/fixture.rs
+++ b/crates/decide/tests/testsuite/coordinate/fixture.rs
@@ -1,4 +1,4 @@
-//! Values that the coordinator's tests share.
+//! Values shared by the tests of the coordinator.
 
 use trefoildyke_decide::coordinate;
 use trefoildyke_types::{id, request, time};
--- a/crates/decide/tests/testsuite/coordinate/mod.rs
+++ b/crates/decide/tests/testsuite/coordinate/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator's decisions.
+//! Tests of the coordinator's decisions.
 
 mod admit;
 pub(crate) mod fixture;
--- a/crates/decide/tests/testsuite/coordinate/request_state.rs
+++ b/crates/decide/tests/testsuite/coordinate/request_state.rs
@@ -1,4 +1,4 @@
-//! The steps of one request.
+//! Tests of the state machine of one request.
 
 use trefoildyke_decide::coordinate::{
     Action, Admission, Input, LookUp, Phase, Reason, RecordOutcome, Recording, RequestState,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_the_nonce() {
+fn the_nonce_decides_who_wrote_a_record_after_a_lost_answer() {
     for (nonce, own) in [(fixture::NONCE.0, true), (8, false)] {
         let mut state = recording(false);
         assert_eq!(step(&mut state, Input::Recorded(RecordOutcome::Unsure)), [Action::LookUp]);
@@ -51,16 +51,16 @@
 }
 
 #[test]
-fn a_second_attempt_is_closed_before_it_is_refused_as_not_run() {
+fn a_retry_is_closed_before_it_is_refused_as_not_run() {
     let mut state = start(true);
     let shed = request::Refusal::new(request::RefusalKind::NotRun, "shed", "later");
     let closing = Action::Record(request::Record::Closed { nonce: fixture::NONCE });
     assert_eq!(step(&mut state, Input::Shed(shed.clone())), [closing]);
-    let mut beaten = state.clone();
+    let mut conflicting = state.clone();
     let created = step(&mut state, Input::Recorded(RecordOutcome::Created));
     assert_eq!(created, [Action::Refuse(shed)]);
     let exists = RecordOutcome::Exists(fixture::intent(fixture::other(), 8));
-    let refused = step(&mut beaten, Input::Recorded(exists));
+    let refused = step(&mut conflicting, Input::Recorded(exists));
     assert_eq!(refused, [Action::Refuse(Reason::NoProof.unknown())]);
 }
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_pause_or_a_leaving_endpoint_voids_the_permit() {
+fn a_pause_or_a_leaving_endpoint_expires_the_permit() {
     for input in [Input::Paused, Input::EndpointLeaving] {
         let mut state = recording(false);
         assert_eq!(step(&mut state, input), []);
@@ -84,18 +84,18 @@
 }
 
 #[test]
-fn a_permit_for_an_endpoint_that_takes_no_work_is_handed_back() {
+fn an_unusable_permit_is_handed_back() {
     let mut state = start(false);
-    let back = Action::HandBack(fixture::permit("e1"));
+    let returned = Action::HandBack(fixture::permit("e1"));
     let actions = step(&mut state, Input::UnusablePermit(fixture::permit("e1")));
-    assert_eq!(actions, [back.clone(), Action::Ask]);
+    assert_eq!(actions, [returned.clone(), Action::Ask]);
     let mut state = dispatched();
     let actions = step(&mut state, Input::UnusablePermit(fixture::permit("e1")));
-    assert_eq!(actions, [back]);
+    assert_eq!(actions, [returned]);
 }
 
 #[test]
-fn a_record_created_past_the_retention_proves_nothing() {
+fn a_record_created_after_the_retention_is_not_trusted() {
     let mut state = recording(false);
     let mut now = fixture::now(0);
     now.unix_ms = NOW_MS + RETENTION_MS + 1;
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_coordinators_not_run_is_passed_on_only_if_nobody_else_may_dispatch() {
+fn not_run_of_a_coordinator_is_passed_on_only_if_no_other_daemon_may_dispatch() {
     let shed = request::Refusal::new(request::RefusalKind::NotRun, "shed", "later");
     let uuid = fixture::uuid(NOW_MS);
     let issued = id::RequestId::issued(uuid, fixture::other());
@@ -133,19 +133,19 @@
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_dispatch_ends_the_request_unanswered() {
+fn a_request_is_abandoned_if_its_caller_leaves_before_the_dispatch() {
     let mut state = start(false);
     assert_eq!(step(&mut state, Input::CallerGone), [Action::Withdraw]);
     assert_eq!(*state.phase(), Phase::Abandoned);
 }
 
 #[test]
-fn crossed_and_gapped_chunks_are_fetched_again() {
+fn a_chunk_of_another_request_or_after_a_gap_resumes_the_stream() {
     let mut state = dispatched();
     let resume = |offset| [Action::Resume { endpoint: "e1".into(), offset }];
     assert_eq!(step(&mut state, Input::Chunk(chunk(0, 2, None))).len(), 1);
-    let crossed = request::Chunk { id: fixture::chosen(NOW_MS - 1), ..chunk(2, 1, None) };
-    assert_eq!(step(&mut state, Input::Chunk(crossed)), resume(2));
+    let foreign = request::Chunk { id: fixture::chosen(NOW_MS - 1), ..chunk(2, 1, None) };
+    assert_eq!(step(&mut state, Input::Chunk(foreign)), resume(2));
     assert_eq!(step(&mut state, Input::Chunk(chunk(3, 1, None))), resume(2));
     assert_eq!(step(&mut state, Input::StreamLost), resume(2));
     let last = chunk(1, 3, Some(request::Finish::Whole));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn what_waits_is_refused_at_once_when_the_daemon_is_cut_off() {
+fn a_waiting_request_is_refused_when_the_daemon_is_isolated() {
     let opening = fixture::opening(fixture::chosen(NOW_MS), false);
     let admission = Admission::Start(Recording::Required);
     let (mut state, actions) = RequestState::start(opening, admission);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_connection_that_never_stood_leads_to_another_endpoint() {
+fn a_failed_connection_leads_to_another_endpoint() {
     let mut state = dispatched();
     assert_eq!(step(&mut state, Input::ConnectFailed), [Action::Ask]);
     let actions = step(&mut state, Input::Permit(fixture::permit("e2")));
@@ -195,7 +195,7 @@
 
 #[test]
 fn another_body_under_a_recorded_id_is_invalid() {
-    let opening = coordinate_opening_with_body(10);
+    let opening = opening_with_fingerprint(10);
     let (mut state, actions) = RequestState::start(opening, Admission::LookUp);
     assert_eq!(actions, [Action::LookUp]);
     let found = LookUp::Found(fixture::intent(fixture::other(), 8));
@@ -203,13 +203,13 @@
     assert_eq!(actions, [Action::Refuse(Reason::IdReused.invalid())]);
 }
 
-fn coordinate_opening_with_body(fingerprint: u64) -> trefoildyke_decide::coordinate::Opening {
+fn opening_with_fingerprint(fingerprint: u64) -> trefoildyke_decide::coordinate::Opening {
     let opening = fixture::opening(fixture::chosen(NOW_MS), true);
     trefoildyke_decide::coordinate::Opening { fingerprint, ..opening }
 }
 
 #[test]
-fn a_follower_goes_from_the_coordinator_to_the_endpoint() {
+fn a_follower_falls_back_from_the_coordinator_to_the_endpoint() {
     let opening = fixture::opening(fixture::chosen(NOW_MS), true);
     let (mut state, _) = RequestState::start(opening, Admission::LookUp);
     let found = LookUp::Found(fixture::intent(fixture::other(), 8));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_permit_holds_from_its_receipt() {
+fn the_life_of_a_permit_starts_at_its_receipt() {
     let mut state = start(false);
     let later = time::Timestamp::from_millis(500);
     let now = trefoildyke_decide::coordinate::Now { mono: later, unix_ms: NOW_MS };
