--- a/crates/decide/src/orders/action.rs
+++ b/crates/decide/src/orders/action.rs
@@ -1,28 +1,29 @@
-//! What the controller wants done.
+//! The actions that the controller requests.
 
 use trefoildyke_types::time;
 
 use crate::orders;
 
-/// Asks the caller of the controller for one action.
+/// An action that the caller of the controller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Take the lease, with a time to live of [`orders::Params::ttl`], and then confirm the version.
+    /// Acquire the lease, with a time to live of [`orders::Params::ttl`], and then confirm the version.
     ///
-    /// If a higher version was ever confirmed, this daemon's configuration is old: give the lease
-    /// back and answer [`orders::Input::NotAcquired`].
+    /// If a higher version was ever confirmed, this daemon's configuration is out of date: release the
+    /// lease and answer [`orders::Input::NotAcquired`].
     Acquire {
-        /// The version of the configuration that this daemon knows.
+        /// The version of the configuration that this daemon has.
         version: u64,
     },
-    /// Confirm a version: record it as the lowest with which anybody may carry out orders.
+    /// Confirm a version: record it as the lowest configuration version with which any daemon may carry
+    /// out orders.
     Confirm {
-        /// The version.
+        /// The version to confirm.
         version: u64,
     },
     /// Renew the lease.
     Renew,
-    /// Give the lease up; there is no answer.
+    /// Release the lease; the controller expects no answer.
     Release,
     /// Send an order once.
     Send {
@@ -30,15 +31,15 @@
         order: orders::Order,
         /// The fencing token to send with it.
         fence: u64,
-        /// Look at the clock once more as the last thing before writing, and do not write from
-        /// this time on.
+        /// The time from which on the order must not be written. Check the clock against it directly
+        /// before writing.
         stop: time::Timestamp,
     },
     /// Record how an order ended.
     Store {
-        /// The order.
+        /// The key of the order.
         key: orders::OrderKey,
-        /// How it ended.
+        /// The outcome of the order.
         outcome: orders::Outcome,
         /// The fencing token under which it was sent.
         fence: u64,
--- a/crates/decide/src/orders/call.rs
+++ b/crates/decide/src/orders/call.rs
@@ -1,18 +1,19 @@
-//! A call that is repeated.
+//! The state of a repeated call.
 
 use trefoildyke_types::time::Timestamp;
 
-/// How a call that is repeated stands.
+/// The state of a call that is repeated, such as a lease renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Call {
-    /// Not to be made before the time given.
+    /// The call is due from the given time on.
     Due(Timestamp),
+    /// The call was started and has not been answered.
     InProgress,
 }
 
 impl Call {
-    /// Begins the call if it is due; says whether it was.
-    pub(super) fn begin(&mut self, now: Timestamp) -> bool {
+    /// Marks the call as in progress if it is due; returns whether it was due.
+    pub(super) fn start_if_due(&mut self, now: Timestamp) -> bool {
         let is_due = matches!(self, Self::Due(from) if now >= *from);
         if is_due {
             *self = Self::InProgress;
--- a/crates/decide/src/orders/controller.rs
+++ b/crates/decide/src/orders/controller.rs
@@ -1,39 +1,41 @@
-//! Decides when orders are sent.
+//! The controller, which decides when to hold the lease and when to send orders.
 
 use std::collections;
 
 use trefoildyke_types::{id, time::Timestamp};
 
-use crate::orders::{self, Action, Input, call::Call, open, phase::Phase};
+use crate::orders::{self, Action, Input, call::Call, open_order, phase::Phase};
 
-/// Carries out the orders of the configuration while this daemon has the lease.
+/// A state machine that carries out the orders of the configuration while this daemon has the lease.
 ///
-/// It takes the lease only while there may be orders to carry out, and gives it up afterwards.
-/// Orders to one engine are carried out one at a time, in the order in which they were accepted.
+/// It acquires the lease only while there may be orders to carry out and releases it afterwards. Orders
+/// to one engine are carried out one at a time, in the sequence in which they were accepted, if
+/// [`orders::Params::per_engine`] is 1.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Controller {
     params: orders::Params,
     phase: Phase,
     is_eligible: bool,
-    /// Whether there may be orders that were not carried out.
+    /// Whether there may be orders that have not ended.
     has_work: bool,
-    /// The version of the configuration that `wanted` is from.
+    /// The version of the configuration that contains `wanted`.
     version: u64,
     /// All orders of the configuration.
     wanted: Vec<orders::Order>,
-    /// The version confirmed last; nothing that a later one accepted is sent.
+    /// The last confirmed version; an order accepted by a later version is not sent.
     ///
-    /// So whoever takes the lease with an older configuration learns that it is old.
+    /// A daemon that acquires the lease with an older configuration therefore learns that its
+    /// configuration is out of date.
     confirmed: u64,
-    confirming: Call,
-    /// The orders known to have ended; complete while the lease is held.
+    confirmation: Call,
+    /// The orders that are known to have ended; complete while the lease is held.
     ended: collections::BTreeSet<orders::OrderKey>,
-    /// The orders that have not ended, by the version that accepted them; empty without the lease,
-    /// except for orders in flight.
-    open: collections::BTreeMap<(u64, orders::OrderKey), open::Open>,
-    /// Until when an engine gets nothing, because an order whose outcome is unknown could still
-    /// take effect after a later one.
-    quiet: collections::BTreeMap<id::EndpointName, Timestamp>,
+    /// The orders whose outcome is not recorded, by the version that accepted them; without the lease,
+    /// only orders in flight.
+    open_orders: collections::BTreeMap<(u64, orders::OrderKey), open_order::OpenOrder>,
+    /// The engines that get no order before the given time, because an order with an unknown outcome
+    /// could still take effect after a later one.
+    blocked: collections::BTreeMap<id::EndpointName, Timestamp>,
 }
 
 impl Controller {
@@ -47,20 +49,20 @@
             version: 0,
             wanted: Vec::new(),
             confirmed: 0,
-            confirming: Call::Due(Timestamp::ZERO),
+            confirmation: Call::Due(Timestamp::ZERO),
             ended: collections::BTreeSet::new(),
-            open: collections::BTreeMap::new(),
-            quiet: collections::BTreeMap::new(),
+            open_orders: collections::BTreeMap::new(),
+            blocked: collections::BTreeMap::new(),
         }
     }
 
-    /// Takes in one event at time `now` and returns what is to be done, in order.
+    /// Handles an event at time `now` and returns the actions to carry out, in order.
     ///
-    /// `now` is a monotonic clock's. Whatever the event, what has become too late by `now` is not
-    /// done, so a pause of any length before the call does no harm.
+    /// `now` is the time of a monotonic clock. The controller checks all time limits against `now` for
+    /// every event, so a pause of any length before the call causes no late action.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Action> {
-        self.take_in(now, input);
-        self.stop_in_time(now);
+        self.handle(now, input);
+        self.check_expiry(now);
         let mut actions = Vec::new();
         match &mut self.phase {
             Phase::Idle(from) => {
@@ -70,217 +72,231 @@
                 }
             }
             Phase::Acquiring => {}
-            Phase::Holding { .. } => self.hold(now, &mut actions),
+            Phase::Holding { .. } => self.act_as_holder(now, &mut actions),
         }
         actions
     }
 
-    /// Returns whether anything is to be done as time passes.
+    /// Returns whether the controller needs [`Input::Tick`] events as time passes.
     pub fn is_busy(&self) -> bool {
         !matches!(self.phase, Phase::Idle(_)) || (self.is_eligible && self.has_work)
     }
 
     /// Returns the lease, if this daemon has it.
-    pub fn holding(&self) -> Option<&orders::Holding> {
+    pub fn held_lease(&self) -> Option<&orders::HeldLease> {
         match &self.phase {
-            Phase::Holding { holding, .. } => Some(holding),
+            Phase::Holding { held_lease, .. } => Some(held_lease),
             Phase::Idle(_) | Phase::Acquiring => None,
         }
     }
 
-    fn take_in(&mut self, now: Timestamp, input: Input) {
+    fn handle(&mut self, now: Timestamp, input: Input) {
         match input {
-            Input::Orders { version, wanted } => self.want(version, wanted),
+            Input::Orders { version, wanted } => self.set_wanted(version, wanted),
             Input::Eligible(eligible) => {
                 self.has_work |= eligible && !self.is_eligible && !self.wanted.is_empty();
                 self.is_eligible = eligible;
             }
             Input::Acquired { token, begun, version, ended } => {
                 self.confirmed = version;
-                self.confirming = Call::Due(now);
-                self.acquire(now, token, begun, ended);
+                self.confirmation = Call::Due(now);
+                self.start_holding(now, token, begun, ended);
             }
             Input::NotAcquired => self.phase = Phase::Idle(now + self.params.retry),
-            Input::Renewed { begun } => self.renewed(begun),
-            Input::NotRenewed => self.renew_from(now + self.params.retry),
-            Input::LeaseGone => self.lose(now),
-            Input::Sent { key, result } => self.sent(now, &key, result),
+            Input::Renewed { begun } => self.lease_renewed(begun),
+            Input::NotRenewed => self.schedule_renewal(now + self.params.retry),
+            Input::LeaseGone => self.lose_lease(now),
+            Input::Sent { key, result } => self.order_sent(now, &key, result),
             Input::Stored(key) => {
-                self.open.retain(|(_, open), _| *open != key);
+                self.open_orders.retain(|(_, order_key), _| *order_key != key);
                 self.ended.insert(key);
             }
-            Input::NotStored(key) => self.not_stored(now, &key),
+            Input::NotStored(key) => self.outcome_not_stored(now, &key),
             Input::Confirmed(version) => {
                 self.confirmed = self.confirmed.max(version);
-                self.confirming = Call::Due(now);
+                self.confirmation = Call::Due(now);
             }
-            Input::NotConfirmed => self.confirming = Call::Due(now + self.params.retry),
+            Input::NotConfirmed => self.confirmation = Call::Due(now + self.params.retry),
             Input::Tick => {}
         }
     }
 
-    fn want(&mut self, version: u64, wanted: Vec<orders::Order>) {
+    fn set_wanted(&mut self, version: u64, wanted: Vec<orders::Order>) {
         self.version = version;
         self.has_work = !wanted.is_empty();
         self.wanted = wanted;
-        if self.holding().is_some() {
-            self.reopen();
+        if self.held_lease().is_some() {
+            self.update_open_orders();
         }
     }
 
-    /// Makes the open orders those that are wanted and have not ended.
-    fn reopen(&mut self) {
-        for open in self.open.values_mut() {
-            open.is_dropped = true;
+    /// Updates the open orders: those that are wanted and have not ended, and those in flight.
+    fn update_open_orders(&mut self) {
+        for open_order in self.open_orders.values_mut() {
+            open_order.is_removed = true;
         }
         for order in &self.wanted {
             if !self.ended.contains(&order.key) {
-                let place = (order.version, order.key.clone());
-                let fresh = || open::Open::new(order.clone());
-                self.open.entry(place).or_insert_with(fresh).is_dropped = false;
+                let position = (order.version, order.key.clone());
+                let fresh = || open_order::OpenOrder::new(order.clone());
+                self.open_orders.entry(position).or_insert_with(fresh).is_removed = false;
             }
         }
-        self.open.retain(|_, open| !open.is_dropped || open.is_in_flight());
+        self.open_orders
+            .retain(|_, open_order| !open_order.is_removed || open_order.is_in_flight());
     }
 
-    fn acquire(
+    fn start_holding(
         &mut self,
         now: Timestamp,
         token: u64,
-        begun: Timestamp,
+        call_start: Timestamp,
         ended: collections::BTreeSet<orders::OrderKey>,
     ) {
-        let holding = orders::Holding { token, took: now, begun };
-        let renewal = Call::Due(begun + self.params.ttl / 3);
-        self.phase = Phase::Holding { holding, renewal };
+        let held_lease = orders::HeldLease { token, taken_at: now, call_start };
+        let renewal = Call::Due(call_start + self.params.ttl / 3);
+        self.phase = Phase::Holding { held_lease, renewal };
         self.ended = ended;
-        self.reopen();
+        self.update_open_orders();
     }
 
-    fn renewed(&mut self, begun: Timestamp) {
-        if let Phase::Holding { holding, .. } = &mut self.phase {
-            holding.begun = holding.begun.max(begun);
+    fn lease_renewed(&mut self, call_start: Timestamp) {
+        if let Phase::Holding { held_lease, .. } = &mut self.phase {
+            held_lease.call_start = held_lease.call_start.max(call_start);
         }
-        self.renew_from(begun + self.params.ttl / 3);
+        self.schedule_renewal(call_start + self.params.ttl / 3);
     }
 
-    fn renew_from(&mut self, from: Timestamp) {
+    fn schedule_renewal(&mut self, from: Timestamp) {
         if let Phase::Holding { renewal, .. } = &mut self.phase {
             *renewal = Call::Due(from);
         }
     }
 
-    /// Gives up what rests on the lease; orders in flight stay so until their answer comes.
-    fn lose(&mut self, now: Timestamp) {
-        if self.holding().is_none() {
+    /// Ends the holding and drops the open orders; orders in flight remain until their result arrives.
+    fn lose_lease(&mut self, now: Timestamp) {
+        if self.held_lease().is_none() {
             return;
         }
         self.phase = Phase::Idle(now + self.params.retry);
         self.has_work = true;
-        self.open.retain(|_, open| open.is_in_flight());
+        self.open_orders.retain(|_, open_order| open_order.is_in_flight());
     }
 
-    fn stop_in_time(&mut self, now: Timestamp) {
-        if self.holding().is_some_and(|holding| now >= holding.end(&self.params)) {
-            self.lose(now);
+    fn check_expiry(&mut self, now: Timestamp) {
+        if self.held_lease().is_some_and(|held_lease| now >= held_lease.end(&self.params)) {
+            self.lose_lease(now);
         }
     }
 
-    fn sent(&mut self, now: Timestamp, key: &orders::OrderKey, result: orders::SendResult) {
+    fn order_sent(&mut self, now: Timestamp, key: &orders::OrderKey, result: orders::SendResult) {
         if result == orders::SendResult::Stale {
-            self.lose(now);
+            self.lose_lease(now);
         }
-        let holds = self.holding().is_some();
-        let Some((place, open)) = self.open.iter_mut().find(|((_, open), _)| open == key) else {
+        let holds = self.held_lease().is_some();
+        let Some((position, open_order)) =
+            self.open_orders.iter_mut().find(|((_, order_key), _)| order_key == key)
+        else {
             return;
         };
-        let settled = now + self.params.settle;
+        let settled_at = now + self.params.settle;
         if result == orders::SendResult::Unknown {
-            self.quiet.insert(open.order.endpoint.clone(), settled);
+            self.blocked.insert(open_order.order.endpoint.clone(), settled_at);
         }
-        if !holds || open.is_dropped {
-            let place = place.clone();
-            self.open.remove(&place);
+        if !holds || open_order.is_removed {
+            let position = position.clone();
+            self.open_orders.remove(&position);
             return;
         }
-        open.step = match result {
-            orders::SendResult::Done => open::Step::Ended(orders::Outcome::Done, now),
-            orders::SendResult::Refused(why) => {
-                open::Step::Ended(orders::Outcome::Failed(why), now)
+        open_order.step = match result {
+            orders::SendResult::Done => open_order::Step::Ended(orders::Outcome::Done, now),
+            orders::SendResult::Refused(reason) => {
+                open_order::Step::Ended(orders::Outcome::Failed(reason), now)
             }
             orders::SendResult::NotSent | orders::SendResult::Stale => {
-                open::Step::Waiting(now + self.params.retry)
+                open_order::Step::Waiting(now + self.params.retry)
             }
-            orders::SendResult::Unknown => open::Step::Waiting(settled),
+            orders::SendResult::Unknown => open_order::Step::Waiting(settled_at),
         };
     }
 
-    fn not_stored(&mut self, now: Timestamp, key: &orders::OrderKey) {
+    fn outcome_not_stored(&mut self, now: Timestamp, key: &orders::OrderKey) {
         let retry = now + self.params.retry;
-        for ((_, open), state) in &mut self.open {
-            if let open::Step::Storing(outcome) = &state.step
-                && open == key
+        for ((_, order_key), state) in &mut self.open_orders {
+            if let open_order::Step::Storing(outcome) = &state.step
+                && order_key == key
             {
-                state.step = open::Step::Ended(outcome.clone(), retry);
+                state.step = open_order::Step::Ended(outcome.clone(), retry);
             }
         }
     }
 
-    fn hold(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if self.open.is_empty() {
+    fn act_as_holder(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if self.open_orders.is_empty() {
             self.phase = Phase::Idle(now);
             self.has_work = false;
             actions.push(Action::Release);
             return;
         }
-        let Phase::Holding { holding, renewal } = &mut self.phase else { return };
-        if renewal.begin(now) {
+        let Phase::Holding { held_lease, renewal } = &mut self.phase else { return };
+        if renewal.start_if_due(now) {
             actions.push(Action::Renew);
         }
-        let holding = *holding;
-        if self.version > self.confirmed && self.confirming.begin(now) {
+        let held_lease = *held_lease;
+        if self.version > self.confirmed && self.confirmation.start_if_due(now) {
             actions.push(Action::Confirm { version: self.version });
         }
-        self.store(now, &holding, actions);
-        self.send(now, &holding, actions);
+        self.store_outcomes(now, &held_lease, actions);
+        self.send_orders(now, &held_lease, actions);
     }
 
-    fn store(&mut self, now: Timestamp, holding: &orders::Holding, actions: &mut Vec<Action>) {
-        for ((_, key), open) in &mut self.open {
-            if let open::Step::Ended(outcome, from) = &open.step
+    fn store_outcomes(
+        &mut self,
+        now: Timestamp,
+        held_lease: &orders::HeldLease,
+        actions: &mut Vec<Action>,
+    ) {
+        for ((_, key), open_order) in &mut self.open_orders {
+            if let open_order::Step::Ended(outcome, from) = &open_order.step
                 && now >= *from
             {
                 let outcome = outcome.clone();
-                open.step = open::Step::Storing(outcome.clone());
-                let fence = holding.token;
+                open_order.step = open_order::Step::Storing(outcome.clone());
+                let fence = held_lease.token;
                 actions.push(Action::Store { key: key.clone(), outcome, fence });
             }
         }
     }
 
-    fn send(&mut self, now: Timestamp, holding: &orders::Holding, actions: &mut Vec<Action>) {
-        self.quiet.retain(|_, until| now < *until);
-        let mut in_flight = self.open.values().filter(|open| open.is_in_flight()).count();
-        let mut before = collections::BTreeMap::<id::EndpointName, usize>::new();
-        for open in self.open.values_mut() {
-            // Every order that has not ended stands before later ones to its engine.
-            let ahead = before.entry(open.order.endpoint.clone()).or_default();
+    fn send_orders(
+        &mut self,
+        now: Timestamp,
+        held_lease: &orders::HeldLease,
+        actions: &mut Vec<Action>,
+    ) {
+        self.blocked.retain(|_, until| now < *until);
+        let mut in_flight =
+            self.open_orders.values().filter(|open_order| open_order.is_in_flight()).count();
+        let mut predecessors = collections::BTreeMap::<id::EndpointName, usize>::new();
+        for open_order in self.open_orders.values_mut() {
+            // Every open order precedes the later orders to its engine, whatever its step.
+            let ahead = predecessors.entry(open_order.order.endpoint.clone()).or_default();
             let is_next = *ahead < self.params.per_engine;
             *ahead += 1;
-            let checks = open.order.checks_fencing;
-            let is_due = matches!(open.step, open::Step::Waiting(from) if now >= from);
+            let checks = open_order.order.checks_fencing;
+            let is_due = matches!(open_order.step, open_order::Step::Waiting(from) if now >= from);
             if is_due
                 && is_next
-                && open.order.version <= self.confirmed
-                && !self.quiet.contains_key(&open.order.endpoint)
+                && open_order.order.version <= self.confirmed
+                && !self.blocked.contains_key(&open_order.order.endpoint)
                 && in_flight < self.params.in_flight
-                && holding.may_send(now, &self.params, checks)
+                && held_lease.may_send(now, &self.params, checks)
             {
-                open.step = open::Step::Sending;
+                open_order.step = open_order::Step::Sending;
                 in_flight += 1;
-                let stop = holding.stop(&self.params, checks);
-                let order = open.order.clone();
-                actions.push(Action::Send { order, fence: holding.token, stop });
+                let stop = held_lease.stop(&self.params, checks);
+                let order = open_order.order.clone();
+                actions.push(Action::Send { order, fence: held_lease.token, stop });
             }
         }
     }
--- a/crates/decide/src/orders/input.rs
+++ b/crates/decide/src/orders/input.rs
@@ -1,4 +1,4 @@
-//! What the controller is told.
+//! The events that the controller handles.
 
 use std::collections;
 
@@ -6,54 +6,56 @@
 
 use crate::orders;
 
-/// Tells the controller of one event.
+/// An event for the controller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// All orders of a version of the configuration.
+    /// All orders in a version of the configuration.
     Orders {
-        /// The root version.
+        /// The root version of the configuration.
         version: u64,
         /// The orders.
         wanted: Vec<orders::Order>,
     },
-    /// Whether this daemon is the one that should carry out orders, as far as it knows.
+    /// Whether, according to this daemon's own information, it is the one that should carry out orders.
     Eligible(bool),
-    /// Answers [`orders::Action::Acquire`]: the lease was taken.
+    /// Answers [`orders::Action::Acquire`]: the lease was acquired.
     Acquired {
-        /// The fencing token: the revision at which the lease was taken.
+        /// The fencing token: the revision at which the lease was acquired.
         token: u64,
-        /// When the last call began that granted or renewed the lease.
+        /// When the latest call started that granted or renewed the lease.
         begun: time::Timestamp,
-        /// The version that was named in the action; it is confirmed.
+        /// The version from the action, which is now confirmed.
         version: u64,
-        /// The orders recorded as ended, read after the lease was taken.
+        /// The orders that are recorded as ended, read after the lease was acquired.
         ended: collections::BTreeSet<orders::OrderKey>,
     },
-    /// Answers [`orders::Action::Acquire`]: somebody else has the lease, or nobody can tell.
+    /// Answers [`orders::Action::Acquire`]: another daemon has the lease, its holder is unknown, or this
+    /// daemon's configuration is out of date.
     NotAcquired,
-    /// Answers [`orders::Action::Renew`]: the lease was renewed by a call that began then.
+    /// Answers [`orders::Action::Renew`]: the lease was renewed.
     Renewed {
-        /// When the call began.
+        /// When the call started that renewed the lease.
         begun: time::Timestamp,
     },
-    /// Answers [`orders::Action::Renew`]: no answer, or none that helps.
+    /// Answers [`orders::Action::Renew`]: the service did not answer, or its answer does not tell whether
+    /// the lease still exists.
     NotRenewed,
-    /// The lease has ended.
+    /// The lease does not exist any more.
     LeaseGone,
     /// Answers [`orders::Action::Send`].
     Sent {
-        /// The order.
+        /// The key of the order.
         key: orders::OrderKey,
-        /// How sending ended.
+        /// The result of sending it.
         result: orders::SendResult,
     },
     /// Answers [`orders::Action::Store`]: the outcome is recorded.
     Stored(orders::OrderKey),
-    /// Answers [`orders::Action::Store`]: the outcome may not be recorded.
+    /// Answers [`orders::Action::Store`]: the outcome may or may not be recorded.
     NotStored(orders::OrderKey),
     /// Answers [`orders::Action::Confirm`]: the version is confirmed.
     Confirmed(u64),
-    /// Answers [`orders::Action::Confirm`]: it may not be.
+    /// Answers [`orders::Action::Confirm`]: the version may or may not be confirmed.
     NotConfirmed,
     /// Time has passed.
     Tick,
--- a/crates/decide/src/orders/mod.rs
+++ b/crates/decide/src/orders/mod.rs
@@ -1,14 +1,15 @@
-//! Orders to engines, carried out under a lease and its fencing token.
+//! Orders to engines, carried out by one daemon under a lease and its fencing token.
 //!
-//! [`Controller`] decides when one daemon takes the lease, sends orders, stops and records how they
-//! ended. It reads no clock and does no I/O. `docs/design/orders.md` tells which ways were weighed.
+//! [`Controller`] decides when a daemon acquires the lease, sends orders, stops sending and records
+//! their outcomes. It reads no clock and does no I/O. `docs/design/orders.md` describes the design and
+//! its alternatives.
 
 mod action;
 mod call;
 mod controller;
-mod holding;
+mod held_lease;
 mod input;
-mod open;
+mod open_order;
 mod order;
 mod outcome;
 mod params;
@@ -17,7 +18,7 @@
 
 pub use action::Action;
 pub use controller::Controller;
-pub use holding::Holding;
+pub use held_lease::HeldLease;
 pub use input::Input;
 pub use order::{Order, OrderKey};
 pub use outcome::Outcome;
--- a/crates/decide/src/orders/order.rs
+++ b/crates/decide/src/orders/order.rs
@@ -1,10 +1,10 @@
-//! One order as the configuration gives it.
+//! One order as the configuration declares it.
 
 use std::fmt;
 
 use trefoildyke_types::{id, resource};
 
-/// Names one generation of one order; each is carried out on its own.
+/// The key of one generation of an order; each generation is carried out separately.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -22,17 +22,17 @@
     }
 }
 
-/// Describes an order to one engine.
+/// An order to one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Order {
-    /// The order.
+    /// The key of the order.
     pub key: OrderKey,
-    /// The root version that accepted it; orders to one engine are carried out in this order.
+    /// The root version that accepted the order; orders to one engine are carried out by ascending version.
     pub version: u64,
     /// The engine.
     pub endpoint: id::EndpointName,
-    /// Whether the engine refuses old fencing tokens.
+    /// Whether the engine refuses outdated fencing tokens.
     pub checks_fencing: bool,
-    /// What the engine is told to do.
+    /// The action that the engine must carry out.
     pub action: resource::OrderAction,
 }
--- a/crates/decide/src/orders/outcome.rs
+++ b/crates/decide/src/orders/outcome.rs
@@ -1,11 +1,11 @@
-//! How an order ended.
+//! The final outcome of an order.
 
-/// Says how an order ended for good.
+/// The final outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The engine carried it out.
+    /// The engine carried out the order.
     Done,
-    /// The engine refused it, for the reason given.
+    /// The engine refused the order for the given reason.
     Failed(String),
 }
--- a/crates/decide/src/orders/params.rs
+++ b/crates/decide/src/orders/params.rs
@@ -1,29 +1,32 @@
-//! Settings of the controller.
+//! The parameters of the controller.
 
 use std::time;
 
-/// Holds the times that keep a former holder's orders from taking effect after a new holder's.
+/// The times and limits that prevent a former holder's orders from taking effect after a new holder's.
 ///
-/// An engine that does not check fencing tokens is protected by time alone. Four guards add up: the
-/// holder's own clock ends its lease `guard` early; it sends nothing that could still be on its way
-/// at the lease's end (`settle`); a new holder waits `margin` before its first order; and one order
-/// at a time is in flight at an engine. A holder that is paused between its last look at the clock
-/// and the write does no harm for pauses up to `guard + margin`.
+/// An engine that does not check fencing tokens is protected by time alone, by four guards together: the
+/// holder treats its lease as ended `guard` early; it sends no order that could still be in transit at
+/// the end of the lease (`settle`); a new holder waits `margin` before its first order; and only one
+/// order at a time is in flight at an engine. A holder that is paused between its last check of the
+/// clock and the write causes no fault as long as the pause is not longer than `guard + margin`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Params {
-    /// How long a lease lasts without renewal; more than `guard + settle`.
+    /// The time to live of a lease without renewal; more than `guard + settle`.
     pub ttl: time::Duration,
-    /// How long before the lease's end its holder stops, for clocks that run unequally.
+    /// How long before the end of the lease its holder stops, to allow for clocks that run at different
+    /// rates.
     pub guard: time::Duration,
-    /// How long after it was written an order can still take effect; longer than any order takes.
+    /// How long after it was written an order can still take effect; longer than any order takes to arrive
+    /// and be carried out.
     pub settle: time::Duration,
-    /// How long a new holder waits before its first order to an engine that does not check.
+    /// How long a new holder waits before its first order to an engine that does not check fencing tokens.
     pub margin: time::Duration,
-    /// How long to wait after a failure before trying again.
+    /// The delay before a retry after a failure.
     pub retry: time::Duration,
-    /// How many orders may be in flight at one engine; more than 1 lets orders overtake.
+    /// The maximum number of orders in flight at one engine; with more than 1, orders can overtake each
+    /// other.
     pub per_engine: usize,
-    /// How many orders may be in flight in all; at least 1.
+    /// The maximum number of orders in flight at all engines together; at least 1.
     pub in_flight: usize,
 }
 
--- a/crates/decide/src/orders/phase.rs
+++ b/crates/decide/src/orders/phase.rs
@@ -1,17 +1,16 @@
-//! How a daemon stands towards the lease.
+//! The state of a daemon with respect to the lease.
 
 use trefoildyke_types::time::Timestamp;
 
 use crate::orders::{self, call};
 
-/// How this daemon stands towards the lease.
+/// The state of this daemon with respect to the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
-    /// Without the lease; not to be taken before the time given.
+    /// The daemon has no lease and must not acquire it before the given time.
     Idle(Timestamp),
+    /// The daemon has requested the lease and waits for the answer.
     Acquiring,
-    Holding {
-        holding: orders::Holding,
-        renewal: call::Call,
-    },
+    /// The daemon holds the lease.
+    Holding { held_lease: orders::HeldLease, renewal: call::Call },
 }
--- a/crates/decide/src/orders/send_result.rs
+++ b/crates/decide/src/orders/send_result.rs
@@ -1,16 +1,16 @@
-//! How sending an order ended.
+//! The result of sending an order.
 
-/// Says what is known after an order was to be sent.
+/// The result of an attempt to send an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SendResult {
-    /// The engine carried it out.
+    /// The engine carried out the order.
     Done,
-    /// The engine refused it without carrying it out, for the reason given.
+    /// The engine refused the order for the given reason and did not carry it out.
     Refused(String),
-    /// The engine has seen a newer fencing token: the lease is over.
+    /// The engine has seen a newer fencing token, so the lease has ended.
     Stale,
     /// Nothing was written.
     NotSent,
-    /// It was written; the engine may have carried it out, or may still do so.
+    /// The order was written; the engine may have carried it out or may still do so.
     Unknown,
 }
--- a/crates/decide/tests/testsuite/orders/mod.rs
+++ b/crates/decide/tests/testsuite/orders/mod.rs
@@ -1,5 +1,5 @@
-//! Orders to engines under a lease.
+//! Tests of orders to engines under a lease.
 
 mod controller;
 mod races;
-mod world;
+mod simulation;
--- a/crates/decide/tests/testsuite/orders/races.rs
+++ b/crates/decide/tests/testsuite/orders/races.rs
@@ -1,155 +1,158 @@
-//! Former holders, pauses and overtaking orders; and what happens without each guard.
+//! Tests of races between a former and a new lease holder, with every guard and without each one.
 
 use std::time::Duration;
 
 use trefoildyke_decide::orders;
 
-use super::world::{self, World, order};
+use super::simulation::{self, Simulation, order};
 
-const LONG: Duration = Duration::from_secs(60);
+const LONG_PAUSE: Duration = Duration::from_secs(60);
 
-/// How the world differs from the usual one.
+/// The settings in which a simulation differs from the default.
 struct Variant {
     params: orders::Params,
     checks_fencing: bool,
-    looks_again: bool,
+    rechecks_clock: bool,
 }
 
 impl Variant {
     fn usual(checks_fencing: bool) -> Self {
-        let params = orders::Params { ttl: world::TTL, ..Default::default() };
-        Self { params, checks_fencing, looks_again: true }
+        let params = orders::Params { ttl: simulation::TTL, ..Default::default() };
+        Self { params, checks_fencing, rechecks_clock: true }
     }
 }
 
-/// Daemon 0 is paused while it opens the connection for order 1; daemon 1 takes over, and order 2
-/// comes; then daemon 0 wakes. Returns whether the engine went back to order 1.
-fn goes_back_after_a_pause(variant: &Variant) -> bool {
-    let mut world = World::new(variant.params, 2);
-    world.looks_again = variant.looks_again;
+/// Pauses daemon 0 while it opens the connection for order 1. Daemon 1 takes over and carries out order 2
+/// before daemon 0 continues. Returns whether the engine carried out order 1 after order 2.
+fn reorders_after_a_pause(variant: &Variant) -> bool {
+    let mut simulation = Simulation::new(variant.params, 2);
+    simulation.rechecks_clock = variant.rechecks_clock;
     let first = order(1, variant.checks_fencing);
     let second = order(2, variant.checks_fencing);
-    world.configure(0, vec![first.clone()]);
-    world.run_until(|world| world.is_writing(0));
-    world.pause(0, LONG);
-    world.configure(1, vec![first, second]);
-    world.run_until(|world| world.applied == [1, 2]);
-    world.run(LONG * 2);
-    assert!(world.applied.starts_with(&[1, 2]), "{:?}", world.applied);
-    world.has_gone_back()
+    simulation.configure(0, vec![first.clone()]);
+    simulation.run_until(|simulation| simulation.is_writing(0));
+    simulation.pause(0, LONG_PAUSE);
+    simulation.configure(1, vec![first, second]);
+    simulation.run_until(|simulation| simulation.applied == [1, 2]);
+    simulation.run(LONG_PAUSE * 2);
+    assert!(simulation.applied.starts_with(&[1, 2]), "{:?}", simulation.applied);
+    simulation.is_reordered()
 }
 
 #[test]
-fn a_former_holder_that_wakes_does_no_harm() {
+fn a_former_holder_does_not_reorder_after_a_pause() {
     for checks_fencing in [true, false] {
-        assert!(!goes_back_after_a_pause(&Variant::usual(checks_fencing)));
+        assert!(!reorders_after_a_pause(&Variant::usual(checks_fencing)));
     }
 }
 
 #[test]
-fn without_the_last_look_a_former_holder_does_harm_where_the_engine_does_not_check() {
-    let careless = |checks| Variant { looks_again: false, ..Variant::usual(checks) };
-    assert!(goes_back_after_a_pause(&careless(false)));
-    // The fencing token is what protects an engine that checks.
-    assert!(!goes_back_after_a_pause(&careless(true)));
+fn without_the_last_clock_check_a_former_holder_reorders_at_an_engine_without_fencing() {
+    let unchecked = |checks| Variant { rechecks_clock: false, ..Variant::usual(checks) };
+    assert!(reorders_after_a_pause(&unchecked(false)));
+    // An engine that checks fencing tokens is protected by the token.
+    assert!(!reorders_after_a_pause(&unchecked(true)));
 }
 
 #[test]
-fn without_its_own_clock_a_former_holder_does_harm() {
-    let trusting = |checks| {
+fn without_its_own_lease_expiry_a_former_holder_reorders() {
+    let unexpiring = |checks| {
         let mut variant = Variant::usual(checks);
-        variant.params.ttl = LONG * 60;
+        variant.params.ttl = LONG_PAUSE * 60;
         variant
     };
-    assert!(goes_back_after_a_pause(&trusting(false)));
-    assert!(!goes_back_after_a_pause(&trusting(true)));
+    assert!(reorders_after_a_pause(&unexpiring(false)));
+    assert!(!reorders_after_a_pause(&unexpiring(true)));
 }
 
-/// Daemon 0's renewals fail until its lease ends; its order 1, written as late as it may, travels
-/// for `latency`. Returns whether order 2 of daemon 1 is overtaken.
-fn is_overtaken_by_a_slow_order(params: orders::Params, latency: Duration) -> bool {
-    let mut world = World::new(params, 2);
-    world.latency = latency;
-    // The connection takes until just before the lease's end, as its own clock has it.
-    world.connect = params.ttl - params.guard - params.settle - Duration::from_millis(400);
-    world.configure(0, vec![order(1, false)]);
-    world.run_until(|world| world.is_writing(0));
-    world.renews = false;
-    world.run_until(|world| !world.is_writing(0));
-    world.pause(0, LONG);
-    world.connect = Duration::from_millis(100);
-    world.configure(1, vec![order(2, false)]);
-    world.run_until(|world| world.applied.len() == 2);
-    world.has_gone_back()
+/// Lets daemon 0's renewals fail until its lease ends. Daemon 0 writes order 1 at the last permitted
+/// moment, and the order takes `latency` to arrive. Returns whether it takes effect after order 2 of
+/// daemon 1.
+fn reorders_after_a_slow_order(params: orders::Params, latency: Duration) -> bool {
+    let mut simulation = Simulation::new(params, 2);
+    simulation.latency = latency;
+    // The connection is ready just before the time at which the holder stops sending.
+    simulation.connect_time =
+        params.ttl - params.guard - params.settle - Duration::from_millis(400);
+    simulation.configure(0, vec![order(1, false)]);
+    simulation.run_until(|simulation| simulation.is_writing(0));
+    simulation.renewals_succeed = false;
+    simulation.run_until(|simulation| !simulation.is_writing(0));
+    simulation.pause(0, LONG_PAUSE);
+    simulation.connect_time = Duration::from_millis(100);
+    simulation.configure(1, vec![order(2, false)]);
+    simulation.run_until(|simulation| simulation.applied.len() == 2);
+    simulation.is_reordered()
 }
 
 #[test]
-fn an_order_on_its_way_at_the_lease_s_end_does_not_overtake_the_new_holder_s() {
+fn an_order_in_transit_at_the_end_of_the_lease_takes_effect_before_the_new_holders_order() {
     let usual = Variant::usual(false).params;
     let latency = Duration::from_secs(4);
-    // No margin here, so that the holder's own stop has to suffice.
+    // Without a margin, the holder's own stop must be sufficient.
     let by_stop = orders::Params { margin: Duration::ZERO, ..usual };
-    assert!(!is_overtaken_by_a_slow_order(by_stop, latency));
-    // Without either, the order is overtaken.
+    assert!(!reorders_after_a_slow_order(by_stop, latency));
+    // With neither the margin nor the early stop, order 1 takes effect after order 2.
     let neither = orders::Params { guard: Duration::ZERO, settle: Duration::ZERO, ..by_stop };
-    assert!(is_overtaken_by_a_slow_order(neither, latency));
+    assert!(reorders_after_a_slow_order(neither, latency));
     let by_margin = orders::Params { margin: usual.margin, ..neither };
-    assert!(!is_overtaken_by_a_slow_order(by_margin, latency));
+    assert!(!reorders_after_a_slow_order(by_margin, latency));
 }
 
-/// A pause between the last look at the clock and the write has the effect of a longer way.
+/// A pause between the last clock check and the write has the same effect as a longer transit time.
 #[test]
-fn a_pause_after_the_last_look_does_no_harm_up_to_the_sum_of_the_guards() {
+fn a_pause_after_the_last_clock_check_is_harmless_up_to_the_sum_of_the_guards() {
     let usual = Variant::usual(false).params;
     let sum = usual.guard + usual.settle + usual.margin;
     let second = Duration::from_secs(1);
-    assert!(!is_overtaken_by_a_slow_order(usual, sum - second));
-    // What remains possible where the engine does not check: a longer pause at this very point.
-    // The new holder may see only after `retry` that the lease is free.
-    assert!(is_overtaken_by_a_slow_order(usual, sum + usual.retry + second));
+    assert!(!reorders_after_a_slow_order(usual, sum - second));
+    // A longer pause at this point can still reorder orders at an engine without fencing. `retry` is
+    // added because the new holder may notice only after `retry` that the lease is free.
+    assert!(reorders_after_a_slow_order(usual, sum + usual.retry + second));
 }
 
-/// Order 1 travels slowly; order 2 comes while it is on its way.
-fn overtakes_at_one_engine(params: orders::Params) -> bool {
-    let mut world = World::new(params, 1);
-    world.latency = Duration::from_millis(1_500);
-    world.configure(0, vec![order(1, true), order(2, true)]);
-    world.run_until(|world| world.applied.len() == 2);
-    world.has_gone_back()
+/// Sends order 1 with a long transit time and order 2 during it. Returns whether order 2 overtakes order 1.
+fn reorders_at_one_engine(params: orders::Params) -> bool {
+    let mut simulation = Simulation::new(params, 1);
+    simulation.latency = Duration::from_millis(1_500);
+    simulation.configure(0, vec![order(1, true), order(2, true)]);
+    simulation.run_until(|simulation| simulation.applied.len() == 2);
+    simulation.is_reordered()
 }
 
 #[test]
 fn orders_to_one_engine_do_not_overtake_each_other() {
     let usual = Variant::usual(true).params;
-    assert!(!overtakes_at_one_engine(usual));
-    assert!(overtakes_at_one_engine(orders::Params { per_engine: 2, ..usual }));
+    assert!(!reorders_at_one_engine(usual));
+    assert!(reorders_at_one_engine(orders::Params { per_engine: 2, ..usual }));
 }
 
-/// Daemon 1 carries out order 2, which replaced order 1 before that was carried out; then daemon 0,
-/// which has not heard of that, takes the lease.
-fn goes_back_by_an_old_configuration(minds_version: bool) -> bool {
-    let mut world = World::new(Variant::usual(true).params, 2);
-    world.minds_version = minds_version;
-    world.configure(1, vec![order(2, true)]);
-    world.run_until(|world| world.applied == [2] && !world.has_lease(1));
-    world.configure(0, vec![order(1, true)]);
-    world.run(LONG);
-    world.has_gone_back()
+/// Lets daemon 1 carry out order 2, which replaced order 1 before order 1 was carried out. Then daemon 0,
+/// whose configuration still contains order 1, tries to acquire the lease. Returns whether order 1 is
+/// carried out after order 2.
+fn reorders_with_an_old_configuration(checks_version: bool) -> bool {
+    let mut simulation = Simulation::new(Variant::usual(true).params, 2);
+    simulation.checks_version = checks_version;
+    simulation.configure(1, vec![order(2, true)]);
+    simulation.run_until(|simulation| simulation.applied == [2] && !simulation.has_lease(1));
+    simulation.configure(0, vec![order(1, true)]);
+    simulation.run(LONG_PAUSE);
+    simulation.is_reordered()
 }
 
 #[test]
-fn an_old_configuration_orders_nothing() {
-    assert!(!goes_back_by_an_old_configuration(true));
-    // A fencing token does not help here: the old configuration comes with the newest one.
-    assert!(goes_back_by_an_old_configuration(false));
+fn a_daemon_with_an_old_configuration_does_not_reorder() {
+    assert!(!reorders_with_an_old_configuration(true));
+    // A fencing token does not help here: the daemon with the old configuration has the newest token.
+    assert!(reorders_with_an_old_configuration(false));
 }
 
 #[test]
 fn two_controllers_that_race_carry_an_order_out_once() {
-    let mut world = World::new(Variant::usual(false).params, 2);
-    world.configure(0, vec![order(1, false)]);
-    world.configure(1, vec![order(1, false)]);
-    world.run(LONG);
-    assert_eq!(world.applied, [1]);
-    assert!(!world.has_lease(0) && !world.has_lease(1));
+    let mut simulation = Simulation::new(Variant::usual(false).params, 2);
+    simulation.configure(0, vec![order(1, false)]);
+    simulation.configure(1, vec![order(1, false)]);
+    simulation.run(LONG_PAUSE);
+    assert_eq!(simulation.applied, [1]);
+    assert!(!simulation.has_lease(0) && !simulation.has_lease(1));
 }
--- a/crates/decide/tests/testsuite/orders/world.rs
+++ b/crates/decide/tests/testsuite/orders/simulation.rs
@@ -1,13 +1,13 @@
-//! Two controllers, one lease and one engine in virtual time.
+//! A simulation of several controllers, one lease and one engine in virtual time.
 
 use std::{collections, time::Duration};
 
 use trefoildyke_decide::orders::{self, Action, Input};
 use trefoildyke_types::{resource, time::Timestamp};
 
-/// How long one turn of the world takes.
-const TURN: Duration = Duration::from_millis(100);
-/// How long the key-value service counts a lease; the holders' settings may differ in variants.
+/// The length of one simulation step.
+const STEP: Duration = Duration::from_millis(100);
+/// The time to live of the lease at the key-value service; the holders' settings may differ in variants.
 pub(crate) const TTL: Duration = Duration::from_secs(15);
 
 pub(crate) fn order(version: u64, checks_fencing: bool) -> orders::Order {
@@ -20,60 +20,65 @@
     }
 }
 
-/// One daemon that may carry out orders.
+/// A daemon that may carry out orders.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) controller: orders::Controller,
-    /// The daemon does nothing before this time.
-    pub(crate) paused: Timestamp,
-    /// Answers that it has not seen yet.
+    /// The time before which the daemon does nothing.
+    pub(crate) paused_until: Timestamp,
+    /// Answers that the controller has not handled yet.
     answers: Vec<Input>,
-    /// Orders that it is about to write, and when it has a connection to write them on.
+    /// Orders that the daemon is about to write, each with the time at which its connection is ready.
     writing: Vec<(Timestamp, Action)>,
 }
 
-/// An order on its way to the engine.
+/// An order in transit to the engine.
 #[derive(Debug)]
-struct Flying {
+struct InTransit {
     arrives: Timestamp,
     daemon: usize,
     order: orders::Order,
     fence: u64,
 }
 
-/// Everything that the controllers meet.
-pub(crate) struct World {
+/// The daemons, the lease and the engine.
+pub(crate) struct Simulation {
     pub(crate) now: Timestamp,
     pub(crate) daemons: Vec<Daemon>,
-    /// The lease's holder, token and end.
+    /// The lease's holder, fencing token and end.
     lease: Option<(usize, u64, Timestamp)>,
     revision: u64,
     ended: collections::BTreeSet<orders::OrderKey>,
-    /// The highest version that was confirmed.
+    /// The highest confirmed version.
     confirmed: u64,
-    flying: Vec<Flying>,
+    in_transit: Vec<InTransit>,
     /// The newest fencing token that the engine has seen.
     newest: u64,
     /// Versions in the order in which the engine carried them out.
     pub(crate) applied: Vec<u64>,
     /// How long a connection takes to open.
-    pub(crate) connect: Duration,
-    /// How long order 1 travels; the others take [`TURN`].
+    pub(crate) connect_time: Duration,
+    /// The transit time of order 1; all other orders take [`STEP`].
     pub(crate) latency: Duration,
     /// Whether renewals reach the key-value service.
-    pub(crate) renews: bool,
-    /// Whether the lease is refused to a daemon whose configuration is old.
-    pub(crate) minds_version: bool,
-    /// Whether daemons look at the clock once more before writing.
-    pub(crate) looks_again: bool,
+    pub(crate) renewals_succeed: bool,
+    /// Whether the lease is refused to a daemon whose configuration is out of date.
+    pub(crate) checks_version: bool,
+    /// Whether daemons check the clock once more before writing.
+    pub(crate) rechecks_clock: bool,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(params: orders::Params, daemons: usize) -> Self {
         let daemon = |_| {
             let mut controller = orders::Controller::new(params);
             controller.step(Timestamp::ZERO, Input::Eligible(true));
-            Daemon { controller, paused: Timestamp::ZERO, answers: Vec::new(), writing: Vec::new() }
+            Daemon {
+                controller,
+                paused_until: Timestamp::ZERO,
+                answers: Vec::new(),
+                writing: Vec::new(),
+            }
         };
         Self {
             now: Timestamp::ZERO,
@@ -82,42 +87,42 @@
             revision: 100,
             ended: collections::BTreeSet::new(),
             confirmed: 0,
-            flying: Vec::new(),
+            in_transit: Vec::new(),
             newest: 0,
             applied: Vec::new(),
-            connect: Duration::from_millis(200),
-            latency: TURN,
-            renews: true,
-            minds_version: true,
-            looks_again: true,
+            connect_time: Duration::from_millis(200),
+            latency: STEP,
+            renewals_succeed: true,
+            checks_version: true,
+            rechecks_clock: true,
         }
     }
 
-    /// Lets one daemon know the orders of the configuration.
+    /// Passes the orders of a configuration to one daemon.
     pub(crate) fn configure(&mut self, daemon: usize, wanted: Vec<orders::Order>) {
         let version = wanted.iter().map(|order| order.version).max().unwrap_or(0);
         self.daemons[daemon].answers.push(Input::Orders { version, wanted });
     }
 
     pub(crate) fn pause(&mut self, daemon: usize, length: Duration) {
-        self.daemons[daemon].paused = self.now + length;
+        self.daemons[daemon].paused_until = self.now + length;
     }
 
     pub(crate) fn run(&mut self, length: Duration) {
         let end = self.now + length;
-        self.run_until(|world| world.now >= end);
+        self.run_until(|simulation| simulation.now >= end);
     }
 
-    /// Runs until `reached` holds; fails if it takes five minutes of the world's time.
+    /// Runs until `reached` holds; panics after five minutes of virtual time.
     pub(crate) fn run_until(&mut self, reached: impl Fn(&Self) -> bool) {
         let limit = self.now + Duration::from_secs(300);
         while !reached(self) {
             assert!(self.now < limit, "not reached; applied {:?}", self.applied);
-            self.turn();
+            self.advance();
         }
     }
 
-    /// Returns whether the daemon has an order to write that it has not written.
+    /// Returns whether the daemon has an order that it is about to write.
     pub(crate) fn is_writing(&self, daemon: usize) -> bool {
         !self.daemons[daemon].writing.is_empty()
     }
@@ -127,30 +132,30 @@
     }
 
     /// Returns whether the engine carried out an order after a newer one.
-    pub(crate) fn has_gone_back(&self) -> bool {
+    pub(crate) fn is_reordered(&self) -> bool {
         !self.applied.is_sorted()
     }
 
-    fn turn(&mut self) {
-        self.now = self.now + TURN;
+    fn advance(&mut self) {
+        self.now = self.now + STEP;
         if self.lease.is_some_and(|(_, _, end)| end <= self.now) {
             self.lease = None;
         }
-        self.arrive();
+        self.deliver_orders();
         for daemon in 0..self.daemons.len() {
-            if self.daemons[daemon].paused <= self.now {
+            if self.daemons[daemon].paused_until <= self.now {
                 self.write(daemon);
-                self.decide(daemon);
+                self.step_controller(daemon);
             }
         }
     }
 
-    fn arrive(&mut self) {
+    fn deliver_orders(&mut self) {
         let now = self.now;
-        let (arrived, flying): (Vec<_>, Vec<_>) =
-            self.flying.drain(..).partition(|flying| flying.arrives <= now);
-        self.flying = flying;
-        for Flying { daemon, order, fence, .. } in arrived {
+        let (arrived, in_transit): (Vec<_>, Vec<_>) =
+            self.in_transit.drain(..).partition(|in_transit| in_transit.arrives <= now);
+        self.in_transit = in_transit;
+        for InTransit { daemon, order, fence, .. } in arrived {
             let is_stale = order.checks_fencing && fence < self.newest;
             self.newest = self.newest.max(fence);
             let result = if is_stale {
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Writes what has a connection by now, after a last look at the clock.
+    /// Writes the orders whose connection is ready, after a last check of the clock.
     fn write(&mut self, index: usize) {
         let now = self.now;
         let writing = std::mem::take(&mut self.daemons[index].writing);
@@ -171,19 +176,19 @@
             let Action::Send { order, fence, stop } = &action else { continue };
             if ready > now {
                 self.daemons[index].writing.push((ready, action));
-            } else if self.looks_again && now >= *stop {
+            } else if self.rechecks_clock && now >= *stop {
                 let result = orders::SendResult::NotSent;
                 let input = Input::Sent { key: order.key.clone(), result };
                 self.daemons[index].answers.push(input);
             } else {
-                let arrives = now + if order.version == 1 { self.latency } else { TURN };
+                let arrives = now + if order.version == 1 { self.latency } else { STEP };
                 let (order, fence) = (order.clone(), *fence);
-                self.flying.push(Flying { arrives, daemon: index, order, fence });
+                self.in_transit.push(InTransit { arrives, daemon: index, order, fence });
             }
         }
     }
 
-    fn decide(&mut self, index: usize) {
+    fn step_controller(&mut self, index: usize) {
         let mut inputs = std::mem::take(&mut self.daemons[index].answers);
         inputs.push(Input::Tick);
         for input in inputs {
@@ -198,7 +203,7 @@
         let begun = self.now;
         let answer = match action {
             Action::Acquire { version }
-                if self.lease.is_none() && (version >= self.confirmed || !self.minds_version) =>
+                if self.lease.is_none() && (version >= self.confirmed || !self.checks_version) =>
             {
                 self.revision += 1;
                 self.lease = Some((index, self.revision, begun + TTL));
@@ -211,7 +216,7 @@
                 self.confirmed = self.confirmed.max(version);
                 Input::Confirmed(version)
             }
-            Action::Renew if !self.renews => Input::NotRenewed,
+            Action::Renew if !self.renewals_succeed => Input::NotRenewed,
             Action::Renew => match &mut self.lease {
                 Some((holder, _, end)) if *holder == index => {
                     *end = begun + TTL;
@@ -226,7 +231,7 @@
                 return;
             }
             Action::Send { .. } => {
-                let ready = self.now + self.connect;
+                let ready = self.now + self.connect_time;
                 self.daemons[index].writing.push((ready, action));
                 return;
             }
