--- a/crates/decide/src/intents/commit.rs
+++ b/crates/decide/src/intents/commit.rs
@@ -1,116 +1,122 @@
-//! Takes a batch of rows of one slot to their outcomes.
+//! The commit of a batch of rows to one slot.
 
 use crate::intents::{Event, Ledger, Outcome, Part, Retention, Row, Step};
 
-/// Takes a batch of rows of one slot to their outcomes.
+/// A state machine that writes a batch of rows to one slot and determines the outcome of each row.
 ///
-/// Call [`Commit::next`], carry the step out, pass on what became of it by [`Commit::observe`], and
-/// repeat until [`Step::Done`] or until there is no more time. [`Commit::finish`] then tells each
-/// row's outcome, and only claims what is certain.
+/// Call [`Commit::next`], carry out the step, report its result to [`Commit::observe`], and repeat until
+/// [`Step::Done`] or until the time is up. [`Commit::finish`] then returns the outcome of each row. It
+/// states only what is certain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Commit {
     ledger: Ledger,
     retention: Retention,
-    /// The bytes at which a part is sealed.
+    /// The size limit in bytes at which a part is sealed.
     limit: usize,
-    rows: Vec<Pending>,
-    /// The write that has not been answered yet.
-    writing: Option<Part>,
-    /// Whether the slot's end must be read, whatever the ledger knows.
-    reading: bool,
+    rows: Vec<PendingRow>,
+    /// The part that is being written, until the write is answered.
+    written_part: Option<Part>,
+    /// Whether the last parts of the slot must be read, even if the ledger is up to date.
+    must_read: bool,
 }
 
+/// A row with its outcome, once that is known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Pending {
+struct PendingRow {
     row: Row,
-    /// Whether a write with the row was not answered.
+    /// Whether a write that contains the row was not answered.
     unsure: bool,
     outcome: Option<Outcome>,
 }
 
 impl Commit {
-    /// Creates the commit of rows that all belong to the slot of `ledger`.
+    /// Creates the commit of rows that all belong to the slot of `ledger`; `limit` is a part's size limit in
+    /// bytes.
     pub fn new(ledger: Ledger, retention: Retention, limit: usize, rows: Vec<Row>) -> Self {
-        let pending = |row| Pending { row, unsure: false, outcome: None };
+        let pending = |row| PendingRow { row, unsure: false, outcome: None };
         let rows = rows.into_iter().map(pending).collect();
-        Self { ledger, retention, limit, rows, writing: None, reading: false }
+        Self { ledger, retention, limit, rows, written_part: None, must_read: false }
     }
 
-    /// Returns the commit with a read of the slot's end first.
+    /// Returns the commit changed so that it first reads the last parts of the slot.
     ///
-    /// Once [`Self::has_read`], the ledger knows every record that stood when the commit began.
+    /// Once [`Self::has_read`] holds, the ledger contains every record that existed when the commit
+    /// started.
     #[must_use]
     pub fn read_first(mut self) -> Self {
-        self.ledger.doubt();
-        self.reading = true;
+        self.ledger.mark_stale();
+        self.must_read = true;
         self
     }
 
-    /// Returns whether the read that [`Self::read_first`] asks for was answered.
+    /// Returns whether the read required by [`Self::read_first`] is complete.
     pub const fn has_read(&self) -> bool {
-        !self.reading
+        !self.must_read
     }
 
-    /// Returns what is needed next; `now_ms` is the wall clock.
+    /// Returns the next step; `now_ms` is the wall-clock time in milliseconds since the Unix epoch.
     pub fn next(&mut self, now_ms: u64) -> Step {
-        self.settle(now_ms);
-        if !self.reading && self.rows.iter().all(|pending| pending.outcome.is_some()) {
+        self.resolve(now_ms);
+        if !self.must_read && self.rows.iter().all(|pending| pending.outcome.is_some()) {
             return Step::Done;
         }
         let index = self.ledger.index();
         let Some((open, expect)) = self.ledger.last() else {
             return Step::Read { first: index };
         };
-        let (part, _) = open.with(&self.waiting(), self.limit);
-        self.writing = Some(part.clone());
+        let (part, _) = open.with(&self.unresolved_rows(), self.limit);
+        self.written_part = Some(part.clone());
         Step::Write { index, expect, part }
     }
 
-    /// Takes note of what became of the last step.
+    /// Handles the result of the last step.
     pub fn observe(&mut self, event: Event) {
-        let writing = self.writing.take();
+        let written_part = self.written_part.take();
         match event {
             Event::Found(parts) => {
-                self.ledger.read(parts);
-                self.reading &= self.ledger.last().is_none() && !self.ledger.is_deleted();
+                self.ledger.apply_read(parts);
+                self.must_read &= self.ledger.last().is_none() && !self.ledger.is_deleted();
             }
             Event::Written { revision } => {
-                if let Some(part) = writing {
-                    self.ledger.wrote(part, revision);
+                if let Some(part) = written_part {
+                    self.ledger.apply_write(part, revision);
                 }
             }
-            Event::Conflict(stands) => self.ledger.conflict(stands),
+            Event::Conflict(existing) => self.ledger.apply_conflict(existing),
             Event::Lost => {
-                self.doubt(writing.as_ref());
-                self.ledger.doubt();
+                self.mark_unsure(written_part.as_ref());
+                self.ledger.mark_stale();
             }
             Event::Refused => {}
         }
     }
 
-    /// Ends the commit; the outcomes are in the order of the rows.
+    /// Ends the commit and returns the ledger and the outcomes in the order of the rows.
+    ///
+    /// `now_ms` is the wall-clock time in milliseconds since the Unix epoch.
     pub fn finish(mut self, now_ms: u64) -> (Ledger, Vec<Outcome>) {
-        self.settle(now_ms);
-        let outcomes = self.rows.into_iter().map(Pending::finish).collect();
+        self.resolve(now_ms);
+        let outcomes = self.rows.into_iter().map(PendingRow::finish).collect();
         (self.ledger, outcomes)
     }
 
-    /// Gives an outcome to each row whose record is known or whose time has passed.
-    fn settle(&mut self, now_ms: u64) {
+    /// Sets the outcome of each row whose record is known or that can no longer be recorded.
+    fn resolve(&mut self, now_ms: u64) {
         for pending in self.rows.iter_mut().filter(|pending| pending.outcome.is_none()) {
-            pending.settle(&self.ledger, &self.retention, now_ms);
+            pending.resolve(&self.ledger, &self.retention, now_ms);
         }
     }
 
-    /// Returns the rows to write, each key once.
-    fn waiting(&self) -> Vec<&Row> {
+    /// Returns the rows without an outcome, each key once.
+    fn unresolved_rows(&self) -> Vec<&Row> {
         let mut keys = std::collections::HashSet::new();
-        let waiting = self.rows.iter().filter(|pending| pending.outcome.is_none());
-        waiting.map(|pending| &pending.row).filter(|row| keys.insert(&row.key)).collect()
+        let unresolved_rows = self.rows.iter().filter(|pending| pending.outcome.is_none());
+        unresolved_rows.map(|pending| &pending.row).filter(|row| keys.insert(&row.key)).collect()
     }
 
-    fn doubt(&mut self, writing: Option<&Part>) {
-        let Some(part) = writing else {
+    /// Marks the rows of an unanswered write as unsure.
+    fn mark_unsure(&mut self, written_part: Option<&Part>) {
+        let Some(part) = written_part else {
             return;
         };
         for pending in &mut self.rows {
@@ -119,12 +125,12 @@
     }
 }
 
-impl Pending {
-    fn settle(&mut self, ledger: &Ledger, retention: &Retention, now_ms: u64) {
+impl PendingRow {
+    fn resolve(&mut self, ledger: &Ledger, retention: &Retention, now_ms: u64) {
         let id = &self.row.key.id;
         self.outcome = match ledger.find(&self.row.key) {
             Some(record) if *record != self.row.record => Some(Outcome::Exists(record.clone())),
-            Some(_) if retention.proves(id, now_ms) => Some(Outcome::Created),
+            Some(_) if retention.proves_creation(id, now_ms) => Some(Outcome::Created),
             Some(_) => Some(Outcome::Unsure),
             None if ledger.is_deleted() || !retention.accepts(id, now_ms) => {
                 Some(if self.unsure { Outcome::Unsure } else { Outcome::Expired })
@@ -134,7 +140,7 @@
     }
 
     fn finish(self) -> Outcome {
-        let unsettled = if self.unsure { Outcome::Unsure } else { Outcome::Unavailable };
-        self.outcome.unwrap_or(unsettled)
+        let unresolved = if self.unsure { Outcome::Unsure } else { Outcome::Unavailable };
+        self.outcome.unwrap_or(unresolved)
     }
 }
--- a/crates/decide/src/intents/coverage.rs
+++ b/crates/decide/src/intents/coverage.rs
@@ -1,26 +1,28 @@
-//! Which requests are recorded before they are dispatched.
+//! The choice of requests that are recorded before they are dispatched.
 
 use crate::coordinate::{Admission, Recording};
 
-/// Says which requests are recorded before they are dispatched.
+/// The set of requests that are recorded before they are dispatched.
 ///
-/// Either way no request is dispatched twice. Recording only what is not idempotent is no choice:
-/// an idempotent request with a caller's identifier could then be dispatched by two daemons.
+/// With either value no request is dispatched twice. There is no value that records only non-idempotent
+/// requests, because two daemons could then dispatch an idempotent request with a caller's identifier.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Coverage {
-    /// Every request; a retry can go on at another daemon after its coordinator died waiting.
+    /// Every request. If a coordinator fails before the dispatch, a retry can continue at another daemon.
     #[default]
     Every,
-    /// Requests with a caller's identifier. An identifier that a daemon issues is marked as
-    /// unrecorded, so only its issuer ever dispatches it, and without waiting for a write.
+    /// Only requests with a caller's identifier. An identifier that a daemon issues is marked as
+    /// unrecorded, so only the issuer ever dispatches the request, without waiting for a write.
     CallerIds,
 }
 
 impl Coverage {
-    /// Returns how a request is taken, given how it would be if every request were recorded.
+    /// Returns the admission of a request under this coverage.
+    ///
+    /// `admission` is the admission that applies if every request is recorded.
     #[must_use]
     pub const fn apply(self, admission: Admission) -> Admission {
         match (self, admission) {
--- a/crates/decide/src/intents/ledger.rs
+++ b/crates/decide/src/intents/ledger.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows of one slot.
+//! One daemon's copy of the records in one slot.
 
 use std::collections;
 
@@ -6,39 +6,39 @@
 
 use crate::intents;
 
-/// Holds what one daemon knows of one slot.
+/// One daemon's copy of the records in one slot.
 ///
-/// It may be behind what stands in the key-value service, but what it knows is true: rows are
-/// never changed or removed before the retention ends.
+/// The copy may lack rows that exist in the key-value service, but every row in it is correct, because
+/// rows are never changed or removed before the retention ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    known: collections::BTreeMap<id::RequestKey, request::Record>,
-    /// The last part, as it stood at `seen`; never sealed.
-    open: intents::Part,
-    /// The index of the last part. All parts before it are sealed and known.
+    records: collections::BTreeMap<id::RequestKey, request::Record>,
+    /// The last part as of `revision`; never sealed.
+    last_part: intents::Part,
+    /// The index of the last part. All parts before it are sealed, and their records are in `records`.
     index: u32,
-    /// The revision of `open`; 0 if it has not been seen to exist.
-    seen: u64,
-    /// Whether `open` and `seen` are the last that this daemon has heard; otherwise it must read.
+    /// The revision of `last_part`; 0 if the part is not known to exist.
+    revision: u64,
+    /// Whether `last_part` and `revision` are the latest known state; otherwise a read is required.
     current: bool,
-    /// Whether parts have been deleted, which means that the retention is over.
+    /// Whether parts have been deleted, which means that the retention has ended.
     deleted: bool,
 }
 
 impl Ledger {
     /// Returns the record of a request, if it is known.
     pub fn find(&self, key: &id::RequestKey) -> Option<&request::Record> {
-        self.known.get(key)
+        self.records.get(key)
     }
 
-    /// Returns how many records are known.
+    /// Returns the number of known records.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.records.len()
     }
 
     /// Returns whether no record is known.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.records.is_empty()
     }
 
     pub(super) const fn index(&self) -> u32 {
@@ -49,61 +49,63 @@
         self.deleted
     }
 
-    /// Returns the last part with its revision, unless it has to be read first.
+    /// Returns the last part and its revision, or `None` if the part must be read first.
     pub(super) const fn last(&self) -> Option<(&intents::Part, u64)> {
-        if self.current { Some((&self.open, self.seen)) } else { None }
+        if self.current { Some((&self.last_part, self.revision)) } else { None }
     }
 
-    /// Takes note that the last part may have changed.
-    pub(super) const fn doubt(&mut self) {
+    /// Marks the last part as possibly changed, so that it is read again.
+    pub(super) const fn mark_stale(&mut self) {
         self.current = false;
     }
 
-    /// Takes note of what a read from the last part on has found.
-    pub(super) fn read(&mut self, found: Vec<intents::Stored>) {
+    /// Applies the result of a read that started at the last part.
+    pub(super) fn apply_read(&mut self, found: Vec<intents::Stored>) {
         if found.is_empty() {
-            self.deleted |= self.seen > 0;
+            self.deleted |= self.revision > 0;
             self.current = true;
         }
         for stored in found {
-            self.learn(stored);
+            self.merge(stored);
         }
     }
 
-    /// Takes note of what stands in place of what a write expected.
-    pub(super) fn conflict(&mut self, stands: Option<intents::Stored>) {
-        match stands {
-            Some(stored) => self.learn(stored),
+    /// Applies the result of a write that conflicted with `existing`.
+    pub(super) fn apply_conflict(&mut self, existing: Option<intents::Stored>) {
+        match existing {
+            Some(stored) => self.merge(stored),
             None => {
-                self.deleted |= self.seen > 0;
+                self.deleted |= self.revision > 0;
                 self.current = false;
             }
         }
     }
 
-    /// Takes note of a part that this daemon has written.
-    pub(super) fn wrote(&mut self, part: intents::Part, revision: u64) {
+    /// Applies a write by this daemon that took effect.
+    pub(super) fn apply_write(&mut self, part: intents::Part, revision: u64) {
         let sealed = part.sealed;
-        self.learn(intents::Stored { index: self.index, revision, part });
-        // Nobody else is likely to have added the next part yet; if so, the write conflicts.
+        self.merge(intents::Stored { index: self.index, revision, part });
+        // Another daemon is unlikely to have added the next part already; if one has, the next write
+        // conflicts.
         self.current |= sealed;
     }
 
-    fn learn(&mut self, stored: intents::Stored) {
+    /// Merges a stored part into the copy.
+    fn merge(&mut self, stored: intents::Stored) {
         if stored.index != self.index {
             self.deleted = true;
             return;
         }
         let rows = stored.part.rows.iter().map(|row| (row.key.clone(), row.record.clone()));
-        self.known.extend(rows);
+        self.records.extend(rows);
         if stored.part.sealed {
             self.index += 1;
-            self.open = intents::Part::default();
-            self.seen = 0;
+            self.last_part = intents::Part::default();
+            self.revision = 0;
             self.current = false;
         } else {
-            self.open = stored.part;
-            self.seen = stored.revision;
+            self.last_part = stored.part;
+            self.revision = stored.revision;
             self.current = true;
         }
     }
--- a/crates/decide/src/intents/mod.rs
+++ b/crates/decide/src/intents/mod.rs
@@ -1,14 +1,13 @@
-//! Who may dispatch: records in the key-value service, each created at most once.
+//! Records of the intent to dispatch a request; each is created at most once in the key-value service.
 //!
-//! A request's key and the time in its identifier name a [`Slot`]: one bucket of one time slice. A
-//! slot is a row of [`Part`]s, the values of consecutive keys. Only the last part grows, by
-//! compare-and-swap; a full one is sealed in the write that fills it. So a record that stands in a
-//! slot is seen by every later write to the slot, whoever makes it, and two daemons that write to
-//! one slot at once conflict and merge.
+//! A request's key and the time in its identifier determine a [`Slot`]: one bucket of one time slice. A
+//! slot is a sequence of [`Part`]s, the values of consecutive keys. Only the last part grows, by
+//! compare-and-swap; a full part is sealed in the write that fills it. Every later write to the slot by
+//! any daemon therefore observes all records in the slot. If two daemons write to a slot at the same
+//! time, one write conflicts, and its daemon merges its rows with the stored part.
 //!
-//! [`Commit`] takes a batch of records through reads, writes, conflicts and lost answers to an
-//! outcome for each. [`Retention`] keeps an identifier from being used after its slot may have
-//! been deleted.
+//! [`Commit`] determines the outcome for each record of a batch despite conflicts and lost answers.
+//! [`Retention`] prevents an identifier from being used after its slot may have been deleted.
 
 mod commit;
 mod coverage;
--- a/crates/decide/src/intents/outcome.rs
+++ b/crates/decide/src/intents/outcome.rs
@@ -1,21 +1,21 @@
-//! What became of a row.
+//! The outcome of writing a row.
 
 use trefoildyke_types::request;
 
 use crate::coordinate;
 
-/// Says what became of a row.
+/// The outcome of writing a row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The record stands as written, and none stood before.
+    /// The record exists as written, and no record existed before.
     Created,
-    /// Another record stood before.
+    /// Another record already existed.
     Exists(request::Record),
-    /// The record may or may not stand, now or later.
+    /// It is unknown whether the record exists now or will exist later.
     Unsure,
-    /// The record was not written and never will be.
+    /// The record was not written, and this commit's writes will never take effect.
     Unavailable,
-    /// The identifier's time is outside the span for which records are kept; nothing was written.
+    /// The identifier's time is outside the retention, or its slot was deleted; nothing was written.
     Expired,
 }
 
--- a/crates/decide/src/intents/part.rs
+++ b/crates/decide/src/intents/part.rs
@@ -1,35 +1,37 @@
-//! The value of one key of a slot.
+//! Parts: the values of a slot's keys.
 
 use crate::intents;
 
-/// The bytes of a part without rows.
-const EMPTY: usize = 32;
+/// The size of a part without rows, in bytes.
+const EMPTY_BYTES: usize = 32;
 
-/// Room that a part must have left to stay open, so that the next row rarely has to seal it first.
-const SPARE: usize = 512;
+/// The free space in bytes that a part must have left to stay unsealed. With less space, the next row
+/// would often not fit, and a write would be needed just to seal the part.
+const SPARE_BYTES: usize = 512;
 
-/// Holds some of a slot's rows: the value of one key.
+/// Some of a slot's rows, stored as the value of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
-    /// Whether the part never changes again and the next rows go to the following part.
+    /// Whether the part never changes again, so that further rows go to the next part.
     ///
-    /// The following part exists only after this one was sealed. A writer that still takes this
-    /// part for the last one therefore finds that it has changed.
+    /// The next part is created only after this one is sealed. A writer that still assumes that this part
+    /// is the last one therefore gets a conflict.
     pub sealed: bool,
-    /// The rows, oldest first; no key stands twice in a slot.
+    /// The rows, oldest first; no key occurs twice in a slot.
     pub rows: Vec<intents::Row>,
 }
 
 impl Part {
-    /// Returns the most bytes that the part takes in JSON.
+    /// Returns the maximum size of the part as JSON, in bytes.
     pub fn size(&self) -> usize {
-        EMPTY + self.rows.iter().map(|row| row.size() + 1).sum::<usize>()
+        EMPTY_BYTES + self.rows.iter().map(|row| row.size() + 1).sum::<usize>()
     }
 
-    /// Returns the part with those of `rows` that fit into `limit` bytes, and how many they are.
+    /// Returns the part with those of `rows` appended that fit into `limit` bytes, and their number.
     ///
-    /// At least one fits into a part without rows. The part is sealed if little room is left.
+    /// A part without rows takes at least one row whatever its size. The part is sealed if a row did not
+    /// fit or little space is left.
     pub fn with(&self, rows: &[&intents::Row], limit: usize) -> (Self, usize) {
         let mut part = self.clone();
         let mut size = part.size();
@@ -41,7 +43,7 @@
             part.rows.push((*row).clone());
         }
         let added = part.rows.len() - self.rows.len();
-        part.sealed = added < rows.len() || size + SPARE > limit;
+        part.sealed = added < rows.len() || size + SPARE_BYTES > limit;
         (part, added)
     }
 }
--- a/crates/decide/src/intents/row.rs
+++ b/crates/decide/src/intents/row.rs
@@ -1,40 +1,42 @@
-//! One record as it is stored.
+//! Rows: records in their stored form.
 
 use trefoildyke_types::{id, request};
 
-/// Holds one record with the request that it is about.
+/// One record with the key of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(from = "Packed", into = "Packed")]
 pub struct Row {
-    /// The request.
+    /// The key of the request.
     pub key: id::RequestKey,
     /// The record.
     pub record: request::Record,
 }
 
-/// The stored form: arrays without field names, because a slot holds thousands of rows.
+/// The stored form of a row, an array without field names, because a slot holds thousands of rows.
 #[derive(Clone, serde::Serialize, serde::Deserialize)]
 struct Packed(id::AccountName, id::RequestId, id::Nonce, Option<PackedIntent>);
 
+/// The stored form of an intent.
 #[derive(Clone, serde::Serialize, serde::Deserialize)]
 struct PackedIntent(id::Incarnation, id::EndpointName, u64);
 
-/// The most bytes that a row takes besides its two names: an issued identifier (54), nonce and
-/// fingerprint (20 each), incarnation (16), quotes, brackets and commas (22).
-const FIXED: usize = 132;
+/// The maximum size of a row without its account and endpoint names, in bytes: an issued identifier
+/// (54), nonce and fingerprint (20 each), incarnation (16), quotes, brackets and commas (22).
+const FIXED_BYTES: usize = 132;
 
 impl Row {
-    /// Returns the most bytes that the row takes in JSON.
+    /// Returns the maximum size of the row as JSON, in bytes.
     pub fn size(&self) -> usize {
         let endpoint = match &self.record {
-            request::Record::Intent(intent) => escaped(intent.endpoint.as_str()),
+            request::Record::Intent(intent) => escaped_size(intent.endpoint.as_str()),
             request::Record::Closed { .. } => 0,
         };
-        FIXED + escaped(self.key.account.as_str()) + endpoint
+        FIXED_BYTES + escaped_size(self.key.account.as_str()) + endpoint
     }
 }
 
-fn escaped(text: &str) -> usize {
+/// Returns the maximum size of a text in a JSON string, in bytes without the quotes.
+fn escaped_size(text: &str) -> usize {
     let size = |character: char| match character {
         '"' | '\\' => 2,
         _ if character.is_control() => 6,
--- a/crates/decide/src/intents/step.rs
+++ b/crates/decide/src/intents/step.rs
@@ -1,24 +1,24 @@
-//! What a commit needs next.
+//! The next step of a commit.
 
 use crate::intents;
 
-/// Says what a commit needs next.
+/// The next step of a commit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Read the slot's parts from `first` on, or the first few of them.
+    /// Read the slot's parts from `first` on; the first few of them are sufficient.
     Read {
-        /// The index of the first part.
+        /// The index of the first part to read.
         first: u32,
     },
-    /// Write a part, if its key is at the expected revision.
+    /// Write a part if its key is at the expected revision.
     Write {
         /// The part's index.
         index: u32,
-        /// The revision that must stand; 0 if the key must not exist.
+        /// The expected revision of the key; 0 if the key must not exist.
         expect: u64,
-        /// The new value.
+        /// The new value of the part.
         part: intents::Part,
     },
-    /// Nothing: every row has its outcome.
+    /// Nothing is left to do: every row has its outcome.
     Done,
 }
--- a/crates/decide/src/orders/controller.rs
+++ b/crates/decide/src/orders/controller.rs
@@ -184,7 +184,7 @@
     }
 
     fn check_expiry(&mut self, now: Timestamp) {
-        if self.held_lease().is_some_and(|held_lease| now >= held_lease.end(&self.params)) {
+        if self.held_lease().is_some_and(|held_lease| now >= held_lease.expiry(&self.params)) {
             self.lose_lease(now);
         }
     }
@@ -294,7 +294,7 @@
             {
                 open_order.step = open_order::Step::Sending;
                 in_flight += 1;
-                let stop = held_lease.stop(&self.params, checks);
+                let stop = held_lease.send_deadline(&self.params, checks);
                 let order = open_order.order.clone();
                 actions.push(Action::Send { order, fence: held_lease.token, stop });
             }
--- a/crates/decide/src/orders/held_lease.rs
+++ b/crates/decide/src/orders/held_lease.rs
@@ -22,24 +22,25 @@
 
 impl HeldLease {
     /// Returns the time from which on the holder must no longer rely on the lease.
-    pub fn end(&self, params: &orders::Params) -> Timestamp {
+    pub fn expiry(&self, params: &orders::Params) -> Timestamp {
         self.call_start + params.ttl.saturating_sub(params.guard)
     }
 
     /// Returns the time from which on an order must no longer be written.
-    pub fn stop(&self, params: &orders::Params, checks_fencing: bool) -> Timestamp {
+    pub fn send_deadline(&self, params: &orders::Params, checks_fencing: bool) -> Timestamp {
         let settle = if checks_fencing { time::Duration::ZERO } else { params.settle };
         self.call_start + params.ttl.saturating_sub(params.guard + settle)
     }
 
     /// Returns the time from which on orders may be written.
-    pub fn start(&self, params: &orders::Params, checks_fencing: bool) -> Timestamp {
+    pub fn send_start(&self, params: &orders::Params, checks_fencing: bool) -> Timestamp {
         let margin = if checks_fencing { time::Duration::ZERO } else { params.margin };
         self.taken_at + margin
     }
 
     /// Returns whether an order may be written at time `now`.
     pub fn may_send(&self, now: Timestamp, params: &orders::Params, checks_fencing: bool) -> bool {
-        now >= self.start(params, checks_fencing) && now < self.stop(params, checks_fencing)
+        now >= self.send_start(params, checks_fencing)
+            && now < self.send_deadline(params, checks_fencing)
     }
 }
--- a/crates/decide/tests/testsuite/intents/coverage.rs
+++ b/crates/decide/tests/testsuite/intents/coverage.rs
@@ -1,4 +1,4 @@
-//! What is left unrecorded is dispatched by its issuer only.
+//! Tests that only the issuer of an unrecorded identifier dispatches its request.
 
 use trefoildyke_decide::{
     coordinate::{self, Admission, Recording},
@@ -10,7 +10,7 @@
 use crate::intents::fixture;
 
 #[test]
-fn only_issued_identifiers_can_go_unrecorded() {
+fn only_issued_identifiers_can_be_unrecorded() {
     let start = Admission::Start(Recording::Required);
     let issue = Admission::Issue(Recording::Required);
     assert_eq!(Coverage::Every.apply(issue), issue);
--- a/crates/decide/tests/testsuite/intents/fixture.rs
+++ b/crates/decide/tests/testsuite/intents/fixture.rs
@@ -1,9 +1,9 @@
-//! Records and settings that the tests share.
+//! Records and settings shared by the tests of intents.
 
 use trefoildyke_decide::intents;
 use trefoildyke_types::{id, request};
 
-/// The wall clock of all tests.
+/// The wall-clock time of all tests, in milliseconds since the Unix epoch.
 pub(super) const NOW_MS: u64 = 1_760_000_000_000;
 
 pub(super) const RETENTION: intents::Retention =
@@ -12,7 +12,7 @@
 pub(super) const LAYOUT: intents::Layout =
     intents::Layout { buckets: 4, slice_ms: 60_000, retention: RETENTION };
 
-/// Holds two to four rows, so that parts are sealed often.
+/// The size limit of a part that holds two to four rows, in bytes, so that parts are sealed often.
 pub(super) const SMALL_PART: usize = 700;
 
 /// Returns the key of request `number`, created at `created_ms`.
@@ -26,9 +26,9 @@
     key_at(number, NOW_MS)
 }
 
-/// Returns what `daemon` records for a request, with a nonce of its own.
+/// Returns the row that `daemon` records for request `number`, with its own nonce.
 ///
-/// Names differ in length, so that one row may still fit where another has not.
+/// Endpoint names differ in length, so that one row may still fit into a part where another does not.
 pub(super) fn row(number: u64, daemon: u64) -> intents::Row {
     let intent = request::Intent {
         coordinator: id::Incarnation::from_u64(daemon),
@@ -42,7 +42,7 @@
     intents::Row { key: key(number), record: request::Record::Intent(intent) }
 }
 
-/// Returns the number of the request with a key made by [`key`].
+/// Returns the number of the request whose key was created by [`key`].
 pub(super) fn number(key: &id::RequestKey) -> u64 {
     u64::from(key.id.uuid().as_fields().3[7])
 }
--- a/crates/decide/tests/testsuite/intents/interleavings.rs
+++ b/crates/decide/tests/testsuite/intents/interleavings.rs
@@ -1,4 +1,4 @@
-//! Several daemons commit the same requests to one slot, in every order and with every fault.
+//! Tests of several daemons that commit the same requests to one slot, in random orders and with faults.
 
 use proptest::{prelude::*, test_runner};
 use trefoildyke_decide::intents;
@@ -8,19 +8,22 @@
 const DAEMONS: usize = 3;
 const REQUESTS: u64 = 6;
 
-fn steps() -> impl Strategy<Value = Vec<(usize, simulation::Fate)>> {
-    let fate = prop_oneof![
-        // Most steps go well, or nothing would ever be written.
-        12 => Just(simulation::Fate::Answered),
-        8 => prop::sample::select(simulation::FATES.to_vec()),
+fn steps() -> impl Strategy<Value = Vec<(usize, simulation::Transition)>> {
+    let transition = prop_oneof![
+        // Most steps succeed, because otherwise nothing would ever be written.
+        12 => Just(simulation::Transition::Answered),
+        8 => prop::sample::select(simulation::TRANSITIONS.to_vec()),
     ];
-    prop::collection::vec((0..DAEMONS, fate), 0..60)
+    prop::collection::vec((0..DAEMONS, transition), 0..60)
 }
 
-fn run(variant: simulation::Variant, steps: &[(usize, simulation::Fate)]) -> Result<(), String> {
+fn run(
+    variant: simulation::Variant,
+    steps: &[(usize, simulation::Transition)],
+) -> Result<(), String> {
     let mut simulation = simulation::Simulation::new(variant, DAEMONS, REQUESTS);
-    for (daemon, fate) in steps {
-        simulation.step(*daemon, *fate);
+    for (daemon, transition) in steps {
+        simulation.step(*daemon, *transition);
     }
     simulation.check()
 }
@@ -34,8 +37,8 @@
 }
 
 #[test]
-fn every_record_is_created_once_and_every_outcome_is_true() {
-    explore(simulation::Variant::Whole, 20_000).unwrap();
+fn every_record_is_created_once_and_every_outcome_is_correct() {
+    explore(simulation::Variant::AllGuards, 20_000).unwrap();
 }
 
 #[test]
@@ -44,24 +47,24 @@
 }
 
 #[test]
-fn without_sealing_a_record_stands_twice() {
+fn without_sealing_a_record_is_stored_twice() {
     explore(simulation::Variant::NoSeal, 20_000).unwrap_err();
 }
 
 #[test]
-fn without_a_nonce_two_daemons_take_one_record_for_their_own() {
+fn without_a_nonce_two_daemons_claim_the_same_record() {
     explore(simulation::Variant::NoNonce, 20_000).unwrap_err();
 }
 
 #[test]
-fn a_lost_answer_taken_for_a_refusal_is_untrue() {
+fn treating_a_lost_answer_as_a_refusal_gives_a_wrong_outcome() {
     explore(simulation::Variant::LossIsRefusal, 20_000).unwrap_err();
 }
 
 #[test]
 fn without_faults_all_daemons_finish_and_parts_roll_over() {
-    let mut simulation = simulation::Simulation::new(simulation::Variant::Whole, DAEMONS, 20);
-    simulation.settle();
+    let mut simulation = simulation::Simulation::new(simulation::Variant::AllGuards, DAEMONS, 20);
+    simulation.finish_commits();
     let (_, rows, parts) = simulation.extent();
     assert_eq!(rows, 20);
     assert!(parts > 4, "{parts} parts");
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn two_daemons_that_wrote_at_once_merge() {
+fn concurrent_writes_of_two_daemons_are_merged() {
     let mut first = commit(1);
     let mut second = commit(2);
     for commit in [&mut first, &mut second] {
@@ -86,14 +89,14 @@
     let intents::Step::Write { part, expect: 5, .. } = second.next(fixture::NOW_MS) else {
         panic!("the second does not write again");
     };
-    assert_eq!(part.rows.len(), 3, "the loser keeps the winner's rows");
+    assert_eq!(part.rows.len(), 3, "the second write keeps the rows of the first");
     second.observe(intents::Event::Written { revision: 6 });
     let (_, outcomes) = second.finish(fixture::NOW_MS);
-    let winner = fixture::row(0, 1).record;
-    assert_eq!(outcomes, [intents::Outcome::Exists(winner), intents::Outcome::Created]);
+    let first_record = fixture::row(0, 1).record;
+    assert_eq!(outcomes, [intents::Outcome::Exists(first_record), intents::Outcome::Created]);
 }
 
-/// Returns the commit of one request that both daemons record and one that only this one does.
+/// Returns the commit of two requests: one that both daemons record, and one that only `daemon` records.
 fn commit(daemon: u64) -> intents::Commit {
     let rows = vec![fixture::row(0, daemon), fixture::row(daemon, daemon)];
     intents::Commit::new(intents::Ledger::default(), fixture::RETENTION, 10_000, rows)
--- a/crates/decide/tests/testsuite/intents/mod.rs
+++ b/crates/decide/tests/testsuite/intents/mod.rs
@@ -1,4 +1,4 @@
-//! Records created at most once: commits by several daemons at once, under faults.
+//! Tests that records are created at most once by concurrent commits of several daemons under faults.
 
 mod coverage;
 mod fixture;
--- a/crates/decide/tests/testsuite/intents/one_commit.rs
+++ b/crates/decide/tests/testsuite/intents/one_commit.rs
@@ -1,4 +1,4 @@
-//! One daemon's commit: lost answers in each position, duplicates and full parts.
+//! Tests of one daemon's commit: lost answers at each step, duplicate rows and full parts.
 
 use trefoildyke_decide::intents::{Commit, Event, Ledger, Outcome, Part, Step, Stored};
 
@@ -12,7 +12,7 @@
 fn write(commit: &mut Commit) -> (u32, u64, Part) {
     match commit.next(NOW_MS) {
         Step::Write { index, expect, part } => (index, expect, part),
-        step => panic!("{step:?} in place of a write"),
+        step => panic!("expected a write, got {step:?}"),
     }
 }
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn a_lost_answer_is_resolved_by_reading_back() {
     let mut commit = commit(0..1);
     read(&mut commit, vec![]);
     let (index, _, part) = write(&mut commit);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_lost_call_is_settled_by_a_write_at_the_same_revision() {
+fn a_lost_call_is_resolved_by_a_write_at_the_same_revision() {
     let mut commit = commit(0..1);
     read(&mut commit, vec![]);
     let first = write(&mut commit);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn absence_after_a_lost_answer_proves_nothing() {
+fn a_missing_record_after_a_lost_answer_is_unsure() {
     let mut commit = commit(0..1);
     read(&mut commit, vec![]);
     write(&mut commit);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn reading_first_finds_what_others_wrote_since() {
+fn reading_first_finds_rows_that_other_daemons_wrote() {
     let rows = vec![fixture::row(0, 1)];
     let mut first = Commit::new(Ledger::default(), RETENTION, 10_000, rows);
     read(&mut first, vec![]);
--- a/crates/decide/tests/testsuite/intents/retention.rs
+++ b/crates/decide/tests/testsuite/intents/retention.rs
@@ -1,11 +1,11 @@
-//! Identifiers are not used after their slot may have been deleted.
+//! Tests that identifiers are not used after their slot may have been deleted.
 
 use proptest::prelude::*;
 use trefoildyke_decide::intents;
 
 use crate::intents::fixture::{self, LAYOUT, NOW_MS, RETENTION};
 
-fn created(now_ms: u64, proves: bool) -> intents::Outcome {
+fn created(now_ms: u64, is_trusted: bool) -> intents::Outcome {
     let key = fixture::key(1);
     let row = intents::Row { key: key.clone(), ..fixture::row(1, 1) };
     let ledger = intents::Ledger::default();
@@ -14,7 +14,7 @@
     commit.observe(intents::Event::Found(vec![]));
     commit.next(NOW_MS);
     commit.observe(intents::Event::Written { revision: 1 });
-    assert_eq!(RETENTION.proves(&key.id, now_ms), proves);
+    assert_eq!(RETENTION.proves_creation(&key.id, now_ms), is_trusted);
     commit.finish(now_ms).1.remove(0)
 }
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_identifier_outside_the_span_is_not_written() {
+fn an_identifier_outside_the_retention_is_not_written() {
     for (created_ms, accepted) in [
         (NOW_MS - RETENTION.keep_ms, true),
         (NOW_MS - RETENTION.keep_ms - 1, false),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_slot_with_missing_parts_takes_no_rows() {
+fn a_slot_with_missing_parts_accepts_no_rows() {
     let stored = |index, revision| {
         let rows = vec![fixture::row(9, 9)];
         intents::Stored { index, revision, part: intents::Part { sealed: true, rows } }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_slot_that_was_deleted_under_a_writer_takes_no_rows() {
+fn a_slot_deleted_between_two_commits_accepts_no_rows() {
     let ledger = intents::Ledger::default();
     let rows = vec![fixture::row(1, 1)];
     let mut first = intents::Commit::new(ledger, RETENTION, 10_000, rows);
@@ -77,10 +77,10 @@
 }
 
 proptest! {
-    /// Two hosts whose clocks differ by up to the skew: a record that one still trusts lies in a
-    /// slot that the other has not deleted.
+    /// The clocks of two hosts differ by up to `skew_ms`. A record that one host still trusts is in a slot
+    /// that the other host has not deleted.
     #[test]
-    fn what_is_trusted_is_not_deleted(
+    fn the_slot_of_a_trusted_record_is_not_deleted(
         age_ms in 0..1_000_000_u64,
         ahead_ms in 0..=RETENTION.skew_ms,
         number in 0..1_000_u64,
@@ -89,14 +89,13 @@
         let writer_ms = NOW_MS + age_ms;
         let sweeper_ms = writer_ms + ahead_ms;
         let slot = LAYOUT.slot(&key);
-        if RETENTION.proves(&key.id, writer_ms) {
+        if RETENTION.proves_creation(&key.id, writer_ms) {
             prop_assert!(!LAYOUT.is_over(slot.slice, sweeper_ms));
         }
     }
 
-    /// The same fails for a sweep that does not wait for the difference between clocks.
     #[test]
-    fn every_slot_is_deleted_in_the_end(number in 0..1_000_u64) {
+    fn a_slot_can_be_deleted_after_the_retention_and_twice_the_skew(number in 0..1_000_u64) {
         let slot = LAYOUT.slot(&fixture::key(number));
         let end_ms = LAYOUT.slice_end(slot.slice) + RETENTION.keep_ms + 2 * RETENTION.skew_ms;
         prop_assert!(!LAYOUT.is_over(slot.slice, end_ms));
@@ -104,14 +103,15 @@
     }
 }
 
+/// A sweep that does not wait for the difference between clocks deletes a record that is still trusted.
 #[test]
-fn a_sweep_that_ignores_the_clocks_difference_deletes_what_is_trusted() {
-    let hasty =
+fn without_waiting_for_the_skew_a_trusted_record_is_deleted() {
+    let without_skew =
         intents::Layout { retention: intents::Retention { skew_ms: 0, ..RETENTION }, ..LAYOUT };
     let slice_start = LAYOUT.slice_end(LAYOUT.slot(&fixture::key(1)).slice - 1);
     let last_of_slice = fixture::key_at(1, slice_start + LAYOUT.slice_ms - 1);
     let now_ms = LAYOUT.slice_end(LAYOUT.slot(&last_of_slice).slice) + RETENTION.keep_ms + 1;
-    assert!(RETENTION.proves(&last_of_slice.id, now_ms));
-    assert!(hasty.is_over(LAYOUT.slot(&last_of_slice).slice, now_ms));
+    assert!(RETENTION.proves_creation(&last_of_slice.id, now_ms));
+    assert!(without_skew.is_over(LAYOUT.slot(&last_of_slice).slice, now_ms));
     assert!(!LAYOUT.is_over(LAYOUT.slot(&last_of_slice).slice, now_ms));
 }
--- a/crates/decide/tests/testsuite/intents/simulation.rs
+++ b/crates/decide/tests/testsuite/intents/simulation.rs
@@ -1,4 +1,4 @@
-//! Several daemons that commit to one slot of a small key-value service which can fail.
+//! A simulation of several daemons that commit to one slot of a key-value service with faults.
 
 use std::collections;
 
@@ -7,51 +7,51 @@
 
 use crate::intents::fixture;
 
-/// Switches one guard off, to show that the check notices.
+/// A variant of the protocol. All but the first omit one guard, to show that the check detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Variant {
-    /// As the product is.
-    Whole,
+    /// The protocol with all guards.
+    AllGuards,
     /// Writes do not compare the revision.
     NoCompare,
-    /// Full parts are not sealed.
+    /// Full parts are not sealed in the key-value service.
     NoSeal,
-    /// All daemons use one nonce.
+    /// All daemons use the same nonce.
     NoNonce,
-    /// A write that was not answered counts as refused.
+    /// A write that was not answered is treated as refused.
     LossIsRefusal,
 }
 
-/// Says what becomes of a daemon's next step.
+/// One transition of the simulation: the result of a daemon's next step, or another event.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Fate {
-    /// It is carried out and answered.
+pub(super) enum Transition {
+    /// The step is carried out and answered.
     Answered,
-    /// It is carried out and the answer is lost.
+    /// The step is carried out, but its answer is lost.
     AnswerLost,
-    /// It is not carried out, and the daemon cannot know.
+    /// The step is not carried out, and the daemon gets no answer.
     CallLost,
-    /// It is carried out later, and the daemon hears nothing.
+    /// The step is carried out later, and the daemon gets no answer.
     Delayed,
-    /// It is refused.
+    /// The step is refused.
     Refused,
     /// The oldest delayed write is carried out.
-    Arrives,
-    /// The daemon gives up and starts again with what it knows.
+    DelayedArrives,
+    /// The daemon ends its commit and starts again with the same ledger.
     GivesUp,
-    /// The daemon dies; another life of it records the same requests anew.
+    /// The daemon crashes; a new incarnation of it records the same requests again.
     Restarts,
 }
 
-pub(super) const FATES: [Fate; 8] = [
-    Fate::Answered,
-    Fate::AnswerLost,
-    Fate::CallLost,
-    Fate::Delayed,
-    Fate::Refused,
-    Fate::Arrives,
-    Fate::GivesUp,
-    Fate::Restarts,
+pub(super) const TRANSITIONS: [Transition; 8] = [
+    Transition::Answered,
+    Transition::AnswerLost,
+    Transition::CallLost,
+    Transition::Delayed,
+    Transition::Refused,
+    Transition::DelayedArrives,
+    Transition::GivesUp,
+    Transition::Restarts,
 ];
 
 struct Write {
@@ -61,20 +61,20 @@
 }
 
 struct Daemon {
-    life: u64,
+    incarnation: u64,
     commit: intents::Commit,
     rows: Vec<intents::Row>,
 }
 
-/// Holds all daemons, the slot's keys and what daemons were told.
+/// All daemons, the slot's parts and the outcomes that were reported.
 pub(super) struct Simulation {
     variant: Variant,
-    lives: u64,
+    incarnations: u64,
     daemons: Vec<Daemon>,
     parts: collections::BTreeMap<u32, (u64, intents::Part)>,
     revision: u64,
     delayed: collections::VecDeque<Write>,
-    told: Vec<(intents::Row, intents::Outcome)>,
+    reported: Vec<(intents::Row, intents::Outcome)>,
 }
 
 impl Simulation {
@@ -82,15 +82,15 @@
     pub(super) fn new(variant: Variant, daemons: usize, requests: u64) -> Self {
         let mut simulation = Self {
             variant,
-            lives: 0,
+            incarnations: 0,
             daemons: Vec::new(),
             parts: collections::BTreeMap::new(),
             revision: 0,
             delayed: collections::VecDeque::new(),
-            told: Vec::new(),
+            reported: Vec::new(),
         };
         for daemon in 0..daemons {
-            // Each starts with another request, so that batches cross.
+            // Each daemon starts with a different request, so that batches overlap in different orders.
             let shift = daemon as u64;
             let numbers: Vec<u64> =
                 (0..requests).map(|number| (number + shift) % requests).collect();
@@ -101,51 +101,51 @@
     }
 
     fn start(&mut self, numbers: &[u64], ledger: intents::Ledger) -> Daemon {
-        self.lives += 1;
-        let nonce = if self.variant == Variant::NoNonce { 1 } else { self.lives };
+        self.incarnations += 1;
+        let nonce = if self.variant == Variant::NoNonce { 1 } else { self.incarnations };
         let rows: Vec<_> = numbers.iter().map(|&number| fixture::row(number, nonce)).collect();
         let retention = fixture::RETENTION;
         let commit = intents::Commit::new(ledger, retention, fixture::SMALL_PART, rows.clone());
-        Daemon { life: self.lives, commit, rows }
+        Daemon { incarnation: self.incarnations, commit, rows }
     }
 
-    /// Lets one daemon take its next step.
-    pub(super) fn step(&mut self, daemon: usize, fate: Fate) {
-        match fate {
-            Fate::Arrives => {
+    /// Applies one transition, in most cases the next step of a daemon.
+    pub(super) fn step(&mut self, daemon: usize, transition: Transition) {
+        match transition {
+            Transition::DelayedArrives => {
                 if let Some(write) = self.delayed.pop_front() {
                     self.write(&write);
                 }
             }
-            Fate::GivesUp => self.restart(daemon, true),
-            Fate::Restarts => self.restart(daemon, false),
+            Transition::GivesUp => self.restart(daemon, true),
+            Transition::Restarts => self.restart(daemon, false),
             _ => {
                 let step = self.daemons[daemon].commit.next(fixture::NOW_MS);
-                if let Some(event) = self.carry_out(step, fate) {
+                if let Some(event) = self.carry_out(step, transition) {
                     self.daemons[daemon].commit.observe(event);
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, step: intents::Step, fate: Fate) -> Option<intents::Event> {
-        match (step, fate) {
+    fn carry_out(&mut self, step: intents::Step, transition: Transition) -> Option<intents::Event> {
+        match (step, transition) {
             (intents::Step::Done, _) => None,
-            (_, Fate::Refused) => Some(intents::Event::Refused),
-            (intents::Step::Read { first }, Fate::Answered) => Some(self.read(first)),
+            (_, Transition::Refused) => Some(intents::Event::Refused),
+            (intents::Step::Read { first }, Transition::Answered) => Some(self.read(first)),
             (intents::Step::Read { .. }, _) => Some(intents::Event::Refused),
             (intents::Step::Write { index, expect, part }, _) => {
                 let write = Write { index, expect, part };
-                Some(self.write_with(write, fate))
+                Some(self.write_with(write, transition))
             }
         }
     }
 
-    fn write_with(&mut self, write: Write, fate: Fate) -> intents::Event {
-        match fate {
-            Fate::Answered => return self.write(&write),
-            Fate::AnswerLost => drop(self.write(&write)),
-            Fate::Delayed => self.delayed.push_back(write),
+    fn write_with(&mut self, write: Write, transition: Transition) -> intents::Event {
+        match transition {
+            Transition::Answered => return self.write(&write),
+            Transition::AnswerLost => drop(self.write(&write)),
+            Transition::Delayed => self.delayed.push_back(write),
             _ => {}
         }
         match self.variant {
@@ -155,7 +155,7 @@
     }
 
     fn read(&self, first: u32) -> intents::Event {
-        // Two at a time, so that a read may have to go on.
+        // A read returns at most two parts, so that it may have to be continued.
         let found = self.parts.range(first..).take(2).map(|(&index, (revision, part))| {
             intents::Stored { index, revision: *revision, part: part.clone() }
         });
@@ -190,45 +190,49 @@
         if !keeps_ledger {
             return;
         }
-        let ledger = self.tell(ended);
+        let ledger = self.report(ended);
         let rows = self.daemons[daemon].rows.clone();
         let retention = fixture::RETENTION;
         self.daemons[daemon].commit =
             intents::Commit::new(ledger, retention, fixture::SMALL_PART, rows);
     }
 
-    fn tell(&mut self, daemon: Daemon) -> intents::Ledger {
+    fn report(&mut self, daemon: Daemon) -> intents::Ledger {
         let (ledger, outcomes) = daemon.commit.finish(fixture::NOW_MS);
-        self.told.extend(daemon.rows.into_iter().zip(outcomes));
+        self.reported.extend(daemon.rows.into_iter().zip(outcomes));
         ledger
     }
 
-    /// Ends all daemons and says what is wrong, if anything.
+    /// Ends all daemons and checks the stored rows and the reported outcomes.
+    ///
+    /// # Errors
+    ///
+    /// Returns a description of the first fault.
     pub(super) fn check(mut self) -> Result<(), String> {
         for daemon in std::mem::take(&mut self.daemons) {
-            self.tell(daemon);
+            self.report(daemon);
         }
         while let Some(write) = self.delayed.pop_front() {
             self.write(&write);
         }
-        let mut standing = collections::HashMap::new();
+        let mut stored_rows = collections::HashMap::new();
         for (_, part) in self.parts.values() {
             for row in &part.rows {
-                if standing.insert(row.key.clone(), row.record.clone()).is_some() {
-                    return Err(format!("{} stands twice", row.key));
+                if stored_rows.insert(row.key.clone(), row.record.clone()).is_some() {
+                    return Err(format!("{} is stored twice", row.key));
                 }
             }
         }
-        self.check_told(&standing)
+        self.check_reported(&stored_rows)
     }
 
-    fn check_told(
+    fn check_reported(
         &self,
-        standing: &collections::HashMap<trefoildyke_types::id::RequestKey, request::Record>,
+        stored_rows: &collections::HashMap<trefoildyke_types::id::RequestKey, request::Record>,
     ) -> Result<(), String> {
         let mut created = collections::HashSet::new();
-        for (row, outcome) in &self.told {
-            let stands = standing.get(&row.key);
+        for (row, outcome) in &self.reported {
+            let stands = stored_rows.get(&row.key);
             let right = match outcome {
                 intents::Outcome::Created => {
                     created.insert(&row.key) && stands == Some(&row.record)
@@ -240,27 +244,30 @@
                 intents::Outcome::Unsure => true,
             };
             if !right {
-                return Err(format!("{} was told {outcome:?}, but {stands:?} stands", row.key));
+                return Err(format!(
+                    "the outcome of {} is {outcome:?}, but {stands:?} is stored",
+                    row.key
+                ));
             }
         }
         Ok(())
     }
 
     /// Lets every daemon finish without faults.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn finish_commits(&mut self) {
         for daemon in 0..self.daemons.len() {
             let rows = self.daemons[daemon].rows.len();
             // Each row takes at most a read, a conflict and a write.
             for _ in 0..(rows + 2) * 3 * self.daemons.len() {
-                self.step(daemon, Fate::Answered);
+                self.step(daemon, Transition::Answered);
             }
         }
     }
 
-    /// Returns how many lives there were, and how many rows stand in how many parts.
+    /// Returns the newest incarnation, the number of stored rows and the number of parts.
     pub(super) fn extent(&self) -> (u64, usize, usize) {
         let rows = self.parts.values().map(|(_, part)| part.rows.len()).sum();
-        let newest = self.daemons.iter().map(|daemon| daemon.life).max();
+        let newest = self.daemons.iter().map(|daemon| daemon.incarnation).max();
         (newest.unwrap_or_default(), rows, self.parts.len())
     }
 }
--- a/crates/decide/tests/testsuite/intents/values.rs
+++ b/crates/decide/tests/testsuite/intents/values.rs
@@ -1,4 +1,4 @@
-//! Keys and values as they are stored.
+//! Tests of keys and values in their stored form.
 
 use std::time;
 
@@ -10,10 +10,10 @@
 
 fn rows() -> impl Strategy<Value = intents::Row> {
     let names = (any::<String>(), any::<String>());
-    let marks = (any::<u64>(), any::<u64>(), any::<u64>(), any::<Option<u64>>());
+    let numbers = (any::<u64>(), any::<u64>(), any::<u64>(), any::<Option<u64>>());
     let kind = (any::<bool>(), any::<bool>(), any::<u32>());
-    (names, marks, kind).prop_map(|((account, endpoint), marks, (closed, recorded, number))| {
-        let (nonce, coordinator, fingerprint, issuer) = marks;
+    (names, numbers, kind).prop_map(|((account, endpoint), numbers, (closed, recorded, number))| {
+        let (nonce, coordinator, fingerprint, issuer) = numbers;
         let uuid = fixture::key(u64::from(number)).id.uuid();
         let id = match issuer.map(id::Incarnation::from_u64) {
             None => id::RequestId::chosen(uuid),
@@ -38,7 +38,7 @@
 
 proptest! {
     #[test]
-    fn a_part_is_read_as_it_was_written_and_no_longer_than_stated(
+    fn a_part_round_trips_and_does_not_exceed_its_stated_size(
         rows in prop::collection::vec(rows(), 0..5),
         sealed: bool,
     ) {
@@ -49,7 +49,7 @@
     }
 
     #[test]
-    fn a_key_names_its_slot(slice in 0..u64::MAX >> 16, bucket: u32, index in 0..0xff_ffff_u32) {
+    fn a_part_key_encodes_its_slot(slice in 0..u64::MAX >> 16, bucket: u32, index in 0..0xff_ffff_u32) {
         let slot = intents::Slot { slice, bucket };
         let key = slot.part_key(index);
         prop_assert_eq!(intents::Slot::parse(&key), Some((slot, index)));
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn all_daemons_of_one_layout_agree_and_spread() {
+fn requests_spread_over_all_buckets() {
     let slots: std::collections::BTreeSet<_> =
         (0..100).map(|number| LAYOUT.slot(&fixture::key(number)).bucket).collect();
     assert_eq!(slots.len(), 4);
 }
 
 #[test]
-fn commits_of_a_bucket_start_a_window_apart_and_the_first_at_once() {
+fn commits_of_a_bucket_start_a_window_apart_and_the_first_one_immediately() {
     let window = time::Duration::from_millis(20);
     let at = Timestamp::from_millis;
     assert_eq!(intents::commit_at(at(100), None, window), at(100));
