--- a/crates/decide/src/config/check/mod.rs
+++ b/crates/decide/src/config/check/mod.rs
@@ -1,4 +1,4 @@
-//! Validation of changes, of single resources and of the whole they lead to.
+//! Validation of changes, of single resources and of the resulting configuration.
 
 mod limits;
 mod names;
@@ -11,9 +11,9 @@
 
 use crate::config::ChangeSet;
 
-pub(crate) use references::whole;
+pub(crate) use references::consistency;
 
-/// Checks that a change names each resource once and is not too large.
+/// Checks that a change is not empty, names each resource only once and is not too large.
 pub(crate) fn change(change: &ChangeSet) -> Result<(), error::Error> {
     if change.is_empty() {
         return Err(invalid("the change is empty").remedy("name at least one resource"));
@@ -27,9 +27,9 @@
     let deletions = change.deletions.iter().map(|deletion| deletion.key.clone());
     let mut seen = collections::BTreeSet::new();
     for key in puts.chain(deletions) {
-        if let Some(twice) = seen.replace(key) {
+        if let Some(duplicate) = seen.replace(key) {
             return Err(invalid("occurs twice in the change")
-                .about(&twice)
+                .about(&duplicate)
                 .remedy("keep one of the two"));
         }
     }
--- a/crates/decide/src/config/check/references.rs
+++ b/crates/decide/src/config/check/references.rs
@@ -1,4 +1,4 @@
-//! Validation of the whole that a change would lead to.
+//! Validation of the configuration that would result from a change.
 
 use std::{collections, sync};
 
@@ -8,10 +8,11 @@
 
 type Resources = collections::BTreeMap<resource::ResourceKey, sync::Arc<resource::Resource>>;
 
-/// Checks every reference and everything that must be unique over all resources.
+/// Checks that every reference exists and that unique values are unique over all resources.
 ///
-/// A deleted resource that others still name is found here too, from the resource that names it.
-pub(crate) fn whole(resources: &Resources, change: &ChangeSet) -> Result<(), error::Error> {
+/// This also detects the deletion of a resource to which another resource still refers. The error is
+/// about the referring resource.
+pub(crate) fn consistency(resources: &Resources, change: &ChangeSet) -> Result<(), error::Error> {
     let mut unique = Unique::default();
     for (key, resource) in resources {
         references(resource)
@@ -23,7 +24,7 @@
     Ok(())
 }
 
-/// Names another resource from a field.
+/// A reference to another resource, with the path of the field that contains it.
 struct Reference {
     field: String,
     key: resource::ResourceKey,
@@ -90,7 +91,7 @@
     Err(invalid(message).at(field).remedy(remedy))
 }
 
-/// Collects what no two resources may share.
+/// The values that must be unique, each with the name of the resource that has it.
 #[derive(Default)]
 struct Unique<'a> {
     keys: collections::HashMap<&'a str, &'a str>,
@@ -120,7 +121,7 @@
 }
 
 fn claim<'a, T>(
-    taken: &mut collections::HashMap<T, &'a str>,
+    owners: &mut collections::HashMap<T, &'a str>,
     value: T,
     name: &'a str,
     field: &str,
@@ -128,7 +129,7 @@
 where
     T: Eq + std::hash::Hash,
 {
-    match taken.insert(value, name) {
+    match owners.insert(value, name) {
         None => Ok(()),
         Some(other) => Err(invalid(format!("`{other}` has the same value"))
             .at(field)
--- a/crates/decide/src/config/check/specs.rs
+++ b/crates/decide/src/config/check/specs.rs
@@ -1,4 +1,4 @@
-//! Validation of each kind of spec on its own.
+//! Validation of the fields of each kind of spec.
 
 use std::{collections, fmt, ops};
 
@@ -9,7 +9,7 @@
     check::{invalid, limits, names},
 };
 
-/// Checks a spec's own fields.
+/// Checks the fields of a spec without regard to other resources.
 pub(crate) fn spec(spec: &resource::Spec) -> Result<(), error::Error> {
     match spec {
         resource::Spec::ClientAccount(spec) => account(spec),
@@ -42,7 +42,8 @@
         names::resource("spec.classes", class)?;
     }
     range("spec.weight", spec.weight, 1..=limits::ACCOUNT_WEIGHT)?;
-    spec.max_waiting.map_or(Ok(()), |most| range("spec.max_waiting", most, 1..=u32::MAX))
+    spec.max_waiting
+        .map_or(Ok(()), |max_waiting| range("spec.max_waiting", max_waiting, 1..=u32::MAX))
 }
 
 fn endpoint(spec: &resource::EndpointSpec) -> Result<(), error::Error> {
@@ -59,7 +60,7 @@
 
 fn pool(spec: &resource::EndpointPoolSpec) -> Result<(), error::Error> {
     if let resource::PoolProtocol::Engine { model } = &spec.protocol {
-        names::word("spec.protocol.engine.model", model.as_str())?;
+        names::ident("spec.protocol.engine.model", model.as_str())?;
     }
     range("spec.shards", spec.shards, 1..=limits::POOL_SHARDS)
 }
@@ -67,13 +68,13 @@
 fn order(spec: &resource::EngineOrderSpec) -> Result<(), error::Error> {
     match &spec.action {
         resource::OrderAction::LoadModel { model, version } => {
-            names::word("spec.action.load_model.model", model.as_str())?;
-            names::word("spec.action.load_model.version", version)
+            names::ident("spec.action.load_model.model", model.as_str())?;
+            names::ident("spec.action.load_model.version", version)
         }
         resource::OrderAction::LoadAdapter { adapter } => {
-            names::word("spec.action.load_adapter.adapter", adapter)
+            names::ident("spec.action.load_adapter.adapter", adapter)
         }
-        resource::OrderAction::SetRole { role } => names::word("spec.action.set_role.role", role),
+        resource::OrderAction::SetRole { role } => names::ident("spec.action.set_role.role", role),
     }
 }
 
@@ -84,6 +85,7 @@
     }
 }
 
+/// Checks that the value of a field is in the allowed range.
 fn range<T>(field: &str, value: T, allowed: ops::RangeInclusive<T>) -> Result<(), error::Error>
 where
     T: Copy + PartialOrd + fmt::Display,
--- a/crates/decide/src/config/document.rs
+++ b/crates/decide/src/config/document.rs
@@ -1,11 +1,11 @@
-//! Resources as operators write them.
+//! Parsing of resources and changes as operators write them.
 
 use serde::{Deserialize, de::DeserializeOwned};
 use trefoildyke_types::{error, resource};
 
 use crate::config::{ChangeSet, Deletion};
 
-/// Holds the fields that all resources share, with the spec unread.
+/// The fields common to all resources, with the spec not parsed yet.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Document {
@@ -21,7 +21,7 @@
     status: Option<resource::Status>,
 }
 
-/// Holds a change with its resources unread.
+/// A change whose resources are not parsed yet.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Change {
@@ -31,11 +31,11 @@
     deletions: Vec<Deletion>,
 }
 
-/// Reads one resource from a JSON text; unknown fields are refused.
+/// Parses one resource from a JSON text; unknown fields are refused.
 ///
 /// # Errors
 ///
-/// Fails with `Invalid`, the path of the field and the remedy.
+/// Fails with `Invalid`, the field's path if the error is in a field, and a remedy.
 pub fn from_json(text: &[u8]) -> Result<resource::Resource, error::Error> {
     let value = serde_json::from_slice(text).map_err(|error| {
         invalid(format!("this is not JSON: {error}")).remedy("send one resource as a JSON object")
@@ -43,15 +43,16 @@
     from_value(value)
 }
 
-/// Reads the resources of a YAML text with any number of documents; empty documents are skipped.
+/// Parses the resources of a YAML text with any number of documents; empty documents are skipped.
 ///
 /// # Errors
 ///
-/// Fails with `Invalid`, the document's number, the path of the field and the remedy.
+/// Fails with `Invalid`, the document's number, the field's path if the error is in a field, and a
+/// remedy.
 pub fn from_yaml(text: &str) -> Result<Vec<resource::Resource>, error::Error> {
     let mut resources = Vec::new();
     for (index, document) in serde_yaml_ng::Deserializer::from_str(text).enumerate() {
-        let value = yaml_value(document).map_err(|error| {
+        let value = parse_yaml(document).map_err(|error| {
             invalid(format!("document {} is not YAML: {error}", index + 1))
                 .remedy("write each resource as a YAML mapping, documents parted by `---`")
         })?;
@@ -66,23 +67,23 @@
     Ok(resources)
 }
 
-/// Reads a document by way of a YAML value, which refuses a key that occurs twice.
-fn yaml_value(
+/// Parses a document by way of a YAML value, which refuses duplicate keys.
+fn parse_yaml(
     document: serde_yaml_ng::Deserializer<'_>,
 ) -> Result<serde_json::Value, serde_yaml_ng::Error> {
     let value = serde_yaml_ng::Value::deserialize(document)?;
     serde_yaml_ng::from_value(value)
 }
 
-/// Reads one resource from a value; unknown fields are refused.
+/// Parses one resource from a JSON value; unknown fields are refused.
 ///
 /// # Errors
 ///
-/// Fails with `Invalid`, the path of the field and the remedy.
+/// Fails with `Invalid`, the field's path if the error is in a field, and a remedy.
 pub fn from_value(value: serde_json::Value) -> Result<resource::Resource, error::Error> {
-    let document: Document = typed(value, "")?;
+    let document: Document = parse(value, "")?;
     let key = resource::ResourceKey { kind: document.kind, name: document.name };
-    let spec = spec(key.kind, document.spec).map_err(|error| error.about(&key))?;
+    let spec = parse_spec(key.kind, document.spec).map_err(|error| error.about(&key))?;
     Ok(resource::Resource {
         name: key.name,
         spec,
@@ -92,11 +93,11 @@
     })
 }
 
-/// Reads a change: a list of resources to put, or an object with `puts` and `deletions`.
+/// Parses a change: a list of resources to put, or an object with `puts` and `deletions`.
 ///
 /// # Errors
 ///
-/// Fails with `Invalid`, the path of the field and the remedy.
+/// Fails with `Invalid`, the field's path if the error is in a field, and a remedy.
 pub fn change_from_json(text: &[u8]) -> Result<ChangeSet, error::Error> {
     let value: serde_json::Value = serde_json::from_slice(text).map_err(|error| {
         invalid(format!("this is not JSON: {error}"))
@@ -104,7 +105,7 @@
     })?;
     let change: Change = match value {
         serde_json::Value::Array(puts) => Change { puts, deletions: Vec::new() },
-        other => typed(other, "")?,
+        other => parse(other, "")?,
     };
     let puts = change.puts.into_iter().enumerate().map(|(index, value)| {
         from_value(value).map_err(|error| {
@@ -116,18 +117,22 @@
     Ok(ChangeSet { puts: puts.collect::<Result<_, _>>()?, deletions: change.deletions })
 }
 
-fn spec(kind: resource::Kind, value: serde_json::Value) -> Result<resource::Spec, error::Error> {
+fn parse_spec(
+    kind: resource::Kind,
+    value: serde_json::Value,
+) -> Result<resource::Spec, error::Error> {
     match kind {
-        resource::Kind::ClientAccount => typed(value, "spec").map(resource::Spec::ClientAccount),
-        resource::Kind::Endpoint => typed(value, "spec").map(resource::Spec::Endpoint),
-        resource::Kind::EndpointPool => typed(value, "spec").map(resource::Spec::EndpointPool),
-        resource::Kind::EngineOrder => typed(value, "spec").map(resource::Spec::EngineOrder),
-        resource::Kind::PlannedStop => typed(value, "spec").map(resource::Spec::PlannedStop),
-        resource::Kind::Tier => typed(value, "spec").map(resource::Spec::Tier),
+        resource::Kind::ClientAccount => parse(value, "spec").map(resource::Spec::ClientAccount),
+        resource::Kind::Endpoint => parse(value, "spec").map(resource::Spec::Endpoint),
+        resource::Kind::EndpointPool => parse(value, "spec").map(resource::Spec::EndpointPool),
+        resource::Kind::EngineOrder => parse(value, "spec").map(resource::Spec::EngineOrder),
+        resource::Kind::PlannedStop => parse(value, "spec").map(resource::Spec::PlannedStop),
+        resource::Kind::Tier => parse(value, "spec").map(resource::Spec::Tier),
     }
 }
 
-fn typed<T: DeserializeOwned>(value: serde_json::Value, prefix: &str) -> Result<T, error::Error> {
+/// Deserializes a value; the field path of an error starts with `prefix`.
+fn parse<T: DeserializeOwned>(value: serde_json::Value, prefix: &str) -> Result<T, error::Error> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
         let field = match (prefix, path.as_str()) {
--- a/crates/decide/src/config/mod.rs
+++ b/crates/decide/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! Configuration: what operators declared, as one version of the whole.
+//! The configuration that operators declare, as a sequence of versioned snapshots.
 //!
-//! [`apply`] is the only way from one [`Snapshot`] to the next. A change is validated against the
-//! whole it would lead to and is accepted as a whole or not at all.
+//! Only [`apply`] accepts a change and creates the next [`Snapshot`]. A change is validated against the
+//! complete configuration that would result from it. It is accepted completely or not at all.
 
 mod apply;
 mod check;
--- a/crates/decide/src/config/state/change_set.rs
+++ b/crates/decide/src/config/state/change_set.rs
@@ -1,25 +1,25 @@
-//! Changes as operators ask for them.
+//! Changes that operators request.
 
 use trefoildyke_types::resource;
 
-/// Asks for a resource to be deleted.
+/// The deletion of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deletion {
-    /// The resource.
+    /// The key of the resource.
     pub key: resource::ResourceKey,
-    /// The version that is deleted; `None` deletes whichever stands.
+    /// The expected version of the resource; `None` deletes any version.
     #[serde(default)]
     pub resource_version: Option<u64>,
 }
 
-/// Holds resources to put and to delete, all in one version.
+/// A set of resources to put and to delete in one version of the configuration.
 ///
-/// Invariant of an accepted change set: no resource occurs in it twice.
+/// Invariant of an accepted change set: each resource occurs in it only once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeSet {
-    /// Resources to create (`resource_version` 0) or to replace (the version that stands).
+    /// Resources to create (`resource_version` is 0) or to replace (`resource_version` is the current one).
     #[serde(default)]
     pub puts: Vec<resource::Resource>,
     /// Resources to delete.
@@ -38,7 +38,7 @@
         Self { puts: Vec::new(), deletions: vec![deletion] }
     }
 
-    /// Returns whether the set asks for nothing.
+    /// Returns whether the set contains neither puts nor deletions.
     pub fn is_empty(&self) -> bool {
         self.puts.is_empty() && self.deletions.is_empty()
     }
--- a/crates/decide/src/config/state/indices.rs
+++ b/crates/decide/src/config/state/indices.rs
@@ -1,4 +1,4 @@
-//! Look-ups that follow from the resources.
+//! Indices that are derived from the resources.
 
 use std::{collections, sync};
 
@@ -6,32 +6,32 @@
 
 use crate::config::KeyHash;
 
-/// Holds the targets of planned stops.
+/// The targets of planned stops.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Stops {
-    /// Endpoints that a stop names.
+    /// The endpoints that are targets of planned stops.
     pub(crate) endpoints: collections::BTreeSet<id::EndpointName>,
-    /// Hosts that a stop names.
+    /// The hosts that are targets of planned stops.
     pub(crate) hosts: collections::BTreeSet<id::HostName>,
-    /// Pools that a stop names.
+    /// The pools that are targets of planned stops.
     pub(crate) pools: collections::BTreeSet<id::PoolName>,
 }
 
-/// Holds look-ups over the resources of one snapshot.
+/// Indices over the resources of one snapshot.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Indices {
-    /// The account of each key; no two accounts share a key.
+    /// The account of each key hash; no two accounts share a key.
     pub(crate) accounts: collections::HashMap<KeyHash, id::AccountName>,
     /// The endpoints of each pool, sorted.
     pub(crate) endpoints: collections::BTreeMap<id::PoolName, Vec<id::EndpointName>>,
     /// The tiers by rank; no two tiers share a rank.
     pub(crate) tiers: collections::BTreeMap<u8, id::TierName>,
-    /// What planned stops name.
+    /// The targets of planned stops.
     pub(crate) stops: Stops,
 }
 
 impl Indices {
-    /// Builds the indices of valid resources.
+    /// Creates the indices of valid resources.
     pub(crate) fn new(
         resources: &collections::BTreeMap<resource::ResourceKey, sync::Arc<resource::Resource>>,
     ) -> Self {
--- a/crates/decide/src/config/state/key_hash.rs
+++ b/crates/decide/src/config/state/key_hash.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash([u8; 32]);
 
-/// Says that a text is not a key hash.
+/// The error for a text that is not a key hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key hash has 64 lower-case hexadecimal digits; print one with `trefoildyke key`")]
 pub struct KeyHashError;
 
 impl KeyHash {
-    /// Creates a hash from the bytes that SHA-256 gave.
+    /// Creates a hash from the output of SHA-256.
     pub const fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
--- a/crates/decide/src/config/state/mod.rs
+++ b/crates/decide/src/config/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state that changes lead from and to.
+//! The state of the configuration and its changes.
 
 mod change_set;
 mod indices;
--- a/crates/decide/src/config/state/snapshot.rs
+++ b/crates/decide/src/config/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! One version of the whole configuration.
+//! One version of the complete configuration.
 
 use std::{collections, sync};
 
@@ -6,22 +6,22 @@
 
 use crate::config::{KeyHash, state::indices};
 
-/// Holds one version of the whole configuration.
+/// One version of the complete configuration.
 ///
-/// A snapshot never changes; [`crate::config::apply`] makes the next one, which shares every
-/// resource that stayed the same.
+/// A snapshot is immutable. [`crate::config::apply`] creates the next snapshot, which shares all unchanged
+/// resources with this one.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The root version; 0 before the first change.
     version: u64,
-    /// Every resource; each `resource_version` is at most `version`.
+    /// All resources; each `resource_version` is at most `version`.
     resources: collections::BTreeMap<resource::ResourceKey, sync::Arc<resource::Resource>>,
-    /// Follows from `resources` alone.
+    /// The indices, derived from `resources` alone.
     indices: indices::Indices,
 }
 
 impl Snapshot {
-    /// Creates a snapshot of resources that an earlier snapshot held at `version`.
+    /// Creates a snapshot of valid resources at `version`.
     pub fn new(
         version: u64,
         resources: collections::BTreeMap<resource::ResourceKey, sync::Arc<resource::Resource>>,
@@ -30,7 +30,7 @@
         Self { version, resources, indices }
     }
 
-    /// Creates a snapshot of resources in any order.
+    /// Creates a snapshot of valid resources in any order at `version`.
     pub fn of(version: u64, resources: Vec<resource::Resource>) -> Self {
         let keyed = resources.into_iter().map(|resource| (resource.key(), resource.into()));
         Self::new(version, keyed.collect())
@@ -41,14 +41,14 @@
         self.version
     }
 
-    /// Returns every resource, sorted by kind and name.
+    /// Returns all resources, sorted by kind and name.
     pub const fn resources(
         &self,
     ) -> &collections::BTreeMap<resource::ResourceKey, sync::Arc<resource::Resource>> {
         &self.resources
     }
 
-    /// Returns a resource.
+    /// Returns the resource of a kind with a name.
     pub fn resource(&self, kind: resource::Kind, name: &str) -> Option<&resource::Resource> {
         let key = resource::ResourceKey { kind, name: name.to_owned() };
         self.resources.get(&key).map(|resource| &**resource)
@@ -66,12 +66,12 @@
             .map(|(_, resource)| resource)
     }
 
-    /// Returns the account that a key's hash belongs to.
+    /// Returns the name of the account that has the key with the given hash.
     pub fn account_by_key(&self, hash: &KeyHash) -> Option<&id::AccountName> {
         self.indices.accounts.get(hash)
     }
 
-    /// Returns an account.
+    /// Returns the spec of an account.
     pub fn account(&self, name: &id::AccountName) -> Option<&resource::ClientAccountSpec> {
         match &self.resource(resource::Kind::ClientAccount, name.as_str())?.spec {
             resource::Spec::ClientAccount(spec) => Some(spec),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns a pool.
+    /// Returns the spec of a pool.
     pub fn pool(&self, name: &id::PoolName) -> Option<&resource::EndpointPoolSpec> {
         match &self.resource(resource::Kind::EndpointPool, name.as_str())?.spec {
             resource::Spec::EndpointPool(spec) => Some(spec),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns an endpoint.
+    /// Returns the spec of an endpoint.
     pub fn endpoint(&self, name: &id::EndpointName) -> Option<&resource::EndpointSpec> {
         match &self.resource(resource::Kind::Endpoint, name.as_str())?.spec {
             resource::Spec::Endpoint(spec) => Some(spec),
@@ -100,7 +100,7 @@
         self.indices.endpoints.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns a tier.
+    /// Returns the spec of a tier.
     pub fn tier(&self, name: &id::TierName) -> Option<&resource::TierSpec> {
         match &self.resource(resource::Kind::Tier, name.as_str())?.spec {
             resource::Spec::Tier(spec) => Some(spec),
@@ -113,7 +113,7 @@
         &self.indices.tiers
     }
 
-    /// Returns whether a planned stop of the endpoint, its host or its pool holds.
+    /// Returns whether a planned stop is declared for the endpoint, its host or its pool.
     pub fn stops_endpoint(&self, name: &id::EndpointName) -> bool {
         let stops = &self.indices.stops;
         stops.endpoints.contains(name)
@@ -122,12 +122,12 @@
             })
     }
 
-    /// Returns whether a planned stop of the host holds.
+    /// Returns whether a planned stop is declared for the host.
     pub fn stops_host(&self, host: &id::HostName) -> bool {
         self.indices.stops.hosts.contains(host)
     }
 
-    /// Returns whether a planned stop of the pool holds.
+    /// Returns whether a planned stop is declared for the pool.
     pub fn stops_pool(&self, pool: &id::PoolName) -> bool {
         self.indices.stops.pools.contains(pool)
     }
--- a/crates/decide/src/config/storage/change.rs
+++ b/crates/decide/src/config/storage/change.rs
@@ -4,14 +4,14 @@
 
 use crate::config;
 
-/// Holds one accepted change with the version that it made.
+/// One accepted change with the version that it created.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The root version that the change made.
+    /// The root version that the change created.
     pub version: u64,
-    /// The mark of the writer's attempt.
+    /// The nonce of the writer's attempt.
     pub nonce: id::Nonce,
-    /// What changed.
+    /// The resources that were put and deleted.
     pub set: config::ChangeSet,
 }
--- a/crates/decide/src/config/storage/chunk.rs
+++ b/crates/decide/src/config/storage/chunk.rs
@@ -1,15 +1,15 @@
-//! Chunks: immutable values that hold part of all resources.
+//! Chunks: immutable values that each contain some of the resources.
 
 use trefoildyke_types::{error, id, resource};
 
 use crate::config::{Snapshot, storage};
 
-/// Holds one chunk as it is written to the key-value service.
+/// One chunk as it is written to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// The key; no two folds share one.
+    /// The key; no two compactions share one.
     pub key: String,
-    /// The value.
+    /// The value, a JSON array of resources.
     pub value: String,
 }
 
@@ -18,7 +18,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if a resource cannot be written as JSON, which a valid resource always can.
+    /// Fails with `Protocol` if a resource cannot be written as JSON, which is always possible for a valid
+    /// resource.
     pub fn divide(snapshot: &Snapshot, nonce: id::Nonce) -> Result<Vec<Self>, error::Error> {
         let mut chunks = Vec::new();
         let mut text = String::new();
@@ -30,22 +31,23 @@
             text.push_str(if text.is_empty() { "[" } else { "," });
             text.push_str(&line);
             if text.len() >= storage::CHUNK_BYTES {
-                chunks.push(Self::end(&mut text, snapshot.version(), nonce, chunks.len()));
+                chunks.push(Self::finish(&mut text, snapshot.version(), nonce, chunks.len()));
             }
         }
         if !text.is_empty() {
-            chunks.push(Self::end(&mut text, snapshot.version(), nonce, chunks.len()));
+            chunks.push(Self::finish(&mut text, snapshot.version(), nonce, chunks.len()));
         }
         Ok(chunks)
     }
 
-    fn end(text: &mut String, version: u64, nonce: id::Nonce, index: usize) -> Self {
+    /// Ends the chunk in `text` and leaves `text` empty for the next one.
+    fn finish(text: &mut String, version: u64, nonce: id::Nonce, index: usize) -> Self {
         let key = format!("{}{version:020}-{:016x}-{index}", storage::CHUNK_PREFIX, nonce.0);
         text.push(']');
         Self { key, value: std::mem::take(text) }
     }
 
-    /// Reads the resources of a chunk's value.
+    /// Parses the resources in a chunk's value.
     ///
     /// # Errors
     ///
@@ -58,10 +60,10 @@
     }
 }
 
-/// Returns whether a chunk's key is from before `previous_fold`.
+/// Returns whether a chunk's key is from a compaction before version `previous_fold`.
 ///
-/// Readers of the last root but one may still load its chunks, and a writer that is folding a
-/// later version is left alone.
+/// Chunks of the previous compaction are kept because readers of the previous root may still load them.
+/// Chunks of later versions are kept because a writer may be compacting such a version.
 pub fn obsolete(key: &str, previous_fold: u64) -> bool {
     key.strip_prefix(storage::CHUNK_PREFIX)
         .and_then(|rest| rest.split('-').next())
--- a/crates/decide/src/config/storage/history.rs
+++ b/crates/decide/src/config/storage/history.rs
@@ -1,4 +1,4 @@
-//! What a daemon keeps to bring its peers up to date.
+//! The recent history of the configuration, from which a daemon updates its peers.
 
 use std::{collections, ops, sync};
 
@@ -6,34 +6,36 @@
 
 use crate::config::{Snapshot, replay, storage};
 
-/// The size in bytes of the changes that a daemon keeps for its peers.
+/// The maximum total size in bytes of the changes that a daemon keeps for its peers.
 const KEPT_BYTES: usize = 512 * 1024;
 
-/// The size in bytes that a page does not exceed by more than one resource.
+/// The size limit of a page in bytes, which a page exceeds by at most one resource.
 const PAGE_BYTES: usize = 512 * 1024;
 
-/// Holds the snapshot in force and the changes that led to it.
+/// The current snapshot and the changes that led to it.
 ///
-/// The version only rises: nothing older than the snapshot is ever adopted.
+/// The version only increases: nothing older than the current snapshot is ever adopted.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The snapshot in force.
+    /// The current snapshot.
     snapshot: sync::Arc<Snapshot>,
-    /// The last changes with their sizes; without a gap, the last made the snapshot's version.
+    /// The latest changes with their sizes in bytes, without a gap; the last one created the snapshot's
+    /// version.
     changes: collections::VecDeque<(storage::Change, usize)>,
-    /// The sum of the sizes; at most `KEPT_BYTES`.
+    /// The sum of the sizes of `changes` in bytes; at most `KEPT_BYTES`.
     bytes: usize,
 }
 
-/// Answers a peer that lags.
+/// The answer to a peer whose configuration may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Answer {
-    /// Every change after the version that the peer has.
+    /// All changes after the version that the peer has.
     Changes(Vec<storage::Change>),
-    /// One page of the whole, sorted, if the peer lags too far.
+    /// One page of the complete configuration, sorted by key, if the changes that the peer lacks are no
+    /// longer all kept or the peer already reads pages.
     Page {
-        /// The version of the whole; pages of two versions must not be mixed.
+        /// The version of the configuration; pages of different versions must not be mixed.
         version: u64,
         /// The page's resources.
         resources: Vec<resource::Resource>,
@@ -43,18 +45,18 @@
 }
 
 impl History {
-    /// Returns the snapshot in force.
+    /// Returns the current snapshot.
     pub const fn snapshot(&self) -> &sync::Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// Adopts the changes that follow the snapshot, skipping those it contains.
+    /// Applies the changes after the current snapshot; skips those that it already contains.
     ///
-    /// Returns whether the version rose.
+    /// Returns whether the version increased.
     ///
     /// # Errors
     ///
-    /// Fails with `Protocol` if the changes have a gap or do not fit; nothing is adopted then.
+    /// Fails with `Protocol` if the changes have a gap or do not apply; nothing is adopted in that case.
     pub fn extend(&mut self, changes: Vec<storage::Change>) -> Result<bool, error::Error> {
         let version = self.snapshot.version();
         let new: Vec<_> = changes.into_iter().filter(|c| c.version > version).collect();
@@ -75,9 +77,9 @@
         }
     }
 
-    /// Adopts a whole snapshot, if it is newer than the one in force.
+    /// Adopts a complete snapshot if it is newer than the current one.
     ///
-    /// Returns whether the version rose.
+    /// Returns whether the version increased.
     pub fn replace(&mut self, snapshot: sync::Arc<Snapshot>) -> bool {
         if snapshot.version() <= self.snapshot.version() {
             return false;
@@ -88,14 +90,14 @@
         true
     }
 
-    /// Answers a peer that has version `from` and has read pages up to `after`.
+    /// Returns the answer to a peer that has version `from` and has read pages up to the key `after`.
     pub fn answer(&self, from: u64, after: Option<&resource::ResourceKey>) -> Answer {
         let version = self.snapshot.version();
         if after.is_none() && from >= version {
             return Answer::Changes(Vec::new());
         }
-        let reaches = self.changes.front().is_some_and(|(first, _)| first.version <= from + 1);
-        if after.is_none() && reaches {
+        let is_covered = self.changes.front().is_some_and(|(first, _)| first.version <= from + 1);
+        if after.is_none() && is_covered {
             let later = self.changes.iter().map(|(change, _)| change);
             let later = later.filter(|change| change.version > from);
             return Answer::Changes(later.cloned().collect());
@@ -117,7 +119,7 @@
     }
 }
 
-/// Returns the size in bytes as JSON; what has no JSON form counts as too large to keep.
+/// Returns the size of a value as JSON in bytes; a value without a JSON form counts as too large to keep.
 fn size(value: &impl serde::Serialize) -> usize {
     serde_json::to_vec(value).map_or(KEPT_BYTES + 1, |text| text.len())
 }
--- a/crates/decide/src/config/storage/mod.rs
+++ b/crates/decide/src/config/storage/mod.rs
@@ -1,10 +1,10 @@
 //! The layout of the configuration in the key-value service.
 //!
-//! One key, [`ROOT_KEY`], holds a [`Root`]: the version, the keys of the chunks that hold all
-//! resources as of some version, and the changes since then. A change is one compare-and-swap of
-//! the root, so the root's versions order all changes. When the root would grow too large, the
-//! change folds everything into new chunks, which are written before the root that names them and
-//! never change afterwards.
+//! One key, [`ROOT_KEY`], holds a [`Root`]: the version, the keys of the chunks that contain all
+//! resources as of some version, and the changes since that version. A change is one compare-and-swap of
+//! the root, so the versions of the root define the order of all changes. When the root would become too
+//! large, the change compacts all resources into new chunks. These are written before the root that
+//! refers to them and never change afterwards.
 
 mod change;
 mod chunk;
@@ -21,14 +21,14 @@
 /// The key that holds the root.
 pub const ROOT_KEY: &str = "config/root";
 
-/// The prefix of the keys that hold chunks.
+/// The prefix of the keys of chunks.
 pub const CHUNK_PREFIX: &str = "config/chunk/";
 
-/// The size in bytes above which a root is folded into chunks.
+/// The size in bytes above which a root is compacted into chunks.
 pub const ROOT_BYTES: usize = 96 * 1024;
 
-/// The size in bytes that a chunk does not exceed by more than one resource.
+/// The size limit of a chunk in bytes, which a chunk exceeds by at most one resource.
 pub const CHUNK_BYTES: usize = 256 * 1024;
 
-/// How many of the last changes' nonces the root keeps, for writers that lost an answer.
+/// The number of latest changes whose nonces the root keeps, for writers that did not get an answer.
 pub const NONCES: usize = 512;
--- a/crates/decide/src/config/storage/plan.rs
+++ b/crates/decide/src/config/storage/plan.rs
@@ -1,4 +1,4 @@
-//! What to write for a change.
+//! The writes that a change requires.
 
 use std::sync;
 
@@ -6,14 +6,14 @@
 
 use crate::config::{self, Snapshot, storage};
 
-/// Holds what one change writes: the chunks first, then the root by compare-and-swap.
+/// The writes of one change: first the chunks, then the root by compare-and-swap.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The snapshot that the change leads to.
+    /// The snapshot that results from the change.
     pub snapshot: sync::Arc<Snapshot>,
-    /// The change as the history keeps it; `None` if only the layout is written anew.
+    /// The change as the history keeps it; `None` if the stored configuration is only restored.
     pub change: Option<storage::Change>,
-    /// Chunks that the root names and that are not yet stored.
+    /// The chunks that the root refers to and that are not stored yet.
     pub chunks: Vec<storage::Chunk>,
     /// The root to store.
     pub root: storage::Root,
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// Fails as [`config::apply`] does; nothing is to be written then.
+/// Fails in the same cases as [`config::apply`]; nothing must be written in that case.
 pub fn plan(
     root: &storage::Root,
     snapshot: &Snapshot,
@@ -32,37 +32,44 @@
 ) -> Result<Plan, error::Error> {
     let next = config::apply(snapshot, set)?;
     let change = storage::Change { version: next.version(), nonce, set: set.clone() };
-    let mut grown = root.clone();
-    grown.version = next.version();
-    remember(&mut grown.nonces, nonce);
-    grown.tail.push(change.clone());
-    if grown.to_text()?.len() > storage::ROOT_BYTES {
-        let mut plan = fold(&grown, next, nonce)?;
+    let mut next_root = root.clone();
+    next_root.version = next.version();
+    add_nonce(&mut next_root.nonces, nonce);
+    next_root.tail.push(change.clone());
+    if next_root.to_text()?.len() > storage::ROOT_BYTES {
+        let mut plan = compact(&next_root, next, nonce)?;
         plan.change = Some(change);
         return Ok(plan);
     }
     let snapshot = sync::Arc::new(next);
-    Ok(Plan { snapshot, change: Some(change), chunks: Vec::new(), root: grown })
+    Ok(Plan { snapshot, change: Some(change), chunks: Vec::new(), root: next_root })
 }
 
-/// Plans the writes that bring a snapshot back into a service that lost it.
+/// Plans the writes that restore a snapshot in a key-value service that lost it.
 ///
-/// `root` is what the service holds now; its version is below the snapshot's. The version stays
-/// the snapshot's, since nothing changes for the daemons.
+/// `root` is the root that the service holds now; its version is lower than the snapshot's. The restored
+/// root has the snapshot's version, because nothing changes for the daemons.
 ///
 /// # Errors
 ///
-/// Fails if a resource cannot be written as JSON, which a valid resource always can.
+/// Fails with `Protocol` if a resource cannot be written as JSON, which is always possible for a valid
+/// resource.
 pub fn restore(
     root: &storage::Root,
     snapshot: &Snapshot,
     nonce: id::Nonce,
 ) -> Result<Plan, error::Error> {
-    let lost = storage::Root { version: snapshot.version(), nonces: vec![nonce], ..root.clone() };
-    fold(&lost, snapshot.clone(), nonce)
+    let restored =
+        storage::Root { version: snapshot.version(), nonces: vec![nonce], ..root.clone() };
+    compact(&restored, snapshot.clone(), nonce)
 }
 
-fn fold(root: &storage::Root, snapshot: Snapshot, nonce: id::Nonce) -> Result<Plan, error::Error> {
+/// Plans the compaction of all resources into new chunks.
+fn compact(
+    root: &storage::Root,
+    snapshot: Snapshot,
+    nonce: id::Nonce,
+) -> Result<Plan, error::Error> {
     let chunks = storage::Chunk::divide(&snapshot, nonce)?;
     let root = storage::Root {
         version: root.version,
@@ -75,8 +82,9 @@
     Ok(Plan { snapshot: sync::Arc::new(snapshot), change: None, chunks, root })
 }
 
-fn remember(nonces: &mut Vec<id::Nonce>, nonce: id::Nonce) {
+/// Adds a nonce and drops the oldest ones above the limit.
+fn add_nonce(nonces: &mut Vec<id::Nonce>, nonce: id::Nonce) {
     nonces.push(nonce);
-    let surplus = nonces.len().saturating_sub(storage::NONCES);
-    nonces.drain(..surplus);
+    let excess = nonces.len().saturating_sub(storage::NONCES);
+    nonces.drain(..excess);
 }
--- a/crates/decide/src/intents/commit.rs
+++ b/crates/decide/src/intents/commit.rs
@@ -30,8 +30,9 @@
 }
 
 impl Commit {
-    /// Creates the commit of rows that all belong to the slot of `ledger`; `limit` is a part's size limit in
-    /// bytes.
+    /// Creates the commit of rows that all belong to the slot of `ledger`.
+    ///
+    /// `limit` is the size limit of a part in bytes.
     pub fn new(ledger: Ledger, retention: Retention, limit: usize, rows: Vec<Row>) -> Self {
         let pending = |row| PendingRow { row, unsure: false, outcome: None };
         let rows = rows.into_iter().map(pending).collect();
@@ -61,10 +62,10 @@
             return Step::Done;
         }
         let index = self.ledger.index();
-        let Some((open, expect)) = self.ledger.last() else {
+        let Some((last_part, expect)) = self.ledger.last() else {
             return Step::Read { first: index };
         };
-        let (part, _) = open.with(&self.unresolved_rows(), self.limit);
+        let (part, _) = last_part.with(&self.unresolved_rows(), self.limit);
         self.written_part = Some(part.clone());
         Step::Write { index, expect, part }
     }
--- a/crates/decide/tests/testsuite/config/apply.rs
+++ b/crates/decide/tests/testsuite/config/apply.rs
@@ -1,4 +1,4 @@
-//! The step from one version to the next.
+//! Tests of the transition from one version to the next.
 
 use proptest::prelude::*;
 use trefoildyke_decide::config;
@@ -7,7 +7,7 @@
 use crate::config::{delete, puts, refused, resources, small};
 
 #[test]
-fn a_change_makes_the_next_version_with_its_indices() {
+fn a_change_creates_the_next_version_with_its_indices() {
     let snapshot = small();
     assert_eq!(snapshot.version(), 1);
     let hash: config::KeyHash = "ab".repeat(32).parse().unwrap();
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn a_stale_writer_gets_the_conflict_with_the_version_that_stands() {
-    for (expected, says) in [(0, "exists"), (7, "another one stands")] {
+fn a_stale_writer_gets_a_conflict_with_the_current_version() {
+    for (expected, text) in [(0, "exists"), (7, "another one stands")] {
         let mut change = puts("{kind: Tier, name: urgent, spec: {rank: 0, deadline_ms: 5}}");
         change.puts[0].resource_version = expected;
         let error = refused(&small(), &change);
         assert_eq!(error.kind, error::ErrorKind::Conflict);
         assert_eq!(error.context.current, Some(1));
-        assert!(error.message.contains(says), "{error}");
+        assert!(error.message.contains(text), "{error}");
     }
 }
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_resource_goes_together_with_what_names_it() {
+fn a_resource_can_be_deleted_together_with_its_referrer() {
     let mut change = delete(resource::Kind::EndpointPool, "tutors");
     change.deletions.extend(delete(resource::Kind::Endpoint, "worker-1").deletions);
     let next = config::apply(&small(), &change).unwrap();
@@ -117,7 +117,7 @@
 
 proptest! {
     #[test]
-    fn versions_rise_by_one_and_a_refusal_changes_nothing(
+    fn versions_increase_by_one_and_a_refusal_changes_nothing(
         steps in prop::collection::vec((0..4u8, 0..4u64, 0..6u8), 1..40),
     ) {
         let mut snapshot = config::Snapshot::default();
@@ -125,18 +125,18 @@
             let tier = format!("{{kind: Tier, name: t{name}, spec: {{rank: {rank}, deadline_ms: 5}}}}");
             let mut change = puts(&tier);
             change.puts[0].resource_version = expected;
-            let standing = snapshot
+            let current = snapshot
                 .resource(resource::Kind::Tier, &format!("t{name}"))
                 .map_or(0, |tier| tier.resource_version);
             match config::apply(&snapshot, &change) {
                 Ok(next) => {
                     prop_assert_eq!(next.version(), snapshot.version() + 1);
-                    prop_assert_eq!(standing, expected);
+                    prop_assert_eq!(current, expected);
                     snapshot = next;
                 }
                 Err(error) if error.kind == error::ErrorKind::Conflict => {
-                    prop_assert_ne!(standing, expected);
-                    prop_assert_eq!(error.context.current, Some(standing));
+                    prop_assert_ne!(current, expected);
+                    prop_assert_eq!(error.context.current, Some(current));
                 }
                 Err(error) => prop_assert_eq!(error.kind, error::ErrorKind::Invalid),
             }
--- a/crates/decide/tests/testsuite/config/document.rs
+++ b/crates/decide/tests/testsuite/config/document.rs
@@ -1,4 +1,4 @@
-//! Resources as operators write them.
+//! Tests of parsing resources as operators write them.
 
 use proptest::prelude::*;
 use trefoildyke_decide::config;
--- a/crates/decide/tests/testsuite/config/mod.rs
+++ b/crates/decide/tests/testsuite/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration.
+//! Tests of the configuration.
 
 mod apply;
 mod document;
@@ -17,13 +17,13 @@
     config::ChangeSet { puts: resources(yaml), deletions: Vec::new() }
 }
 
-/// Returns a change that deletes one resource, whichever version stands.
+/// Returns a change that deletes any version of one resource.
 fn delete(kind: resource::Kind, name: &str) -> config::ChangeSet {
     let key = resource::ResourceKey { kind, name: name.to_owned() };
     config::ChangeSet::delete(config::Deletion { key, resource_version: None })
 }
 
-/// Returns what `apply` says against a change.
+/// Returns the error with which `apply` refuses a change.
 fn refused(snapshot: &config::Snapshot, change: &config::ChangeSet) -> error::Error {
     config::apply(snapshot, change).unwrap_err()
 }
--- a/crates/decide/tests/testsuite/config/storage.rs
+++ b/crates/decide/tests/testsuite/config/storage.rs
@@ -1,4 +1,4 @@
-//! The layout in the key-value service.
+//! Tests of the layout in the key-value service.
 
 use std::sync;
 
@@ -8,7 +8,7 @@
 
 use crate::config::{puts, resources};
 
-/// The accounts of the target size.
+/// The number of accounts at the target size.
 const ACCOUNTS: usize = 8_800;
 
 fn tier(rank: u8) -> config::ChangeSet {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_the_nonce() {
+fn the_nonce_gives_the_outcome_of_a_write_after_a_lost_answer() {
     let first = plan(&storage::Root::default(), &config::Snapshot::default(), 0, 11);
     let second = plan(&first.root, &first.snapshot, 1, 12);
     let outcome = |base, nonce| second.root.outcome(base, id::Nonce(nonce));
@@ -61,8 +61,8 @@
     assert_eq!(outcome(0, 99), storage::Outcome::Lost);
     assert_eq!(outcome(1, 12), storage::Outcome::Applied);
     assert_eq!(outcome(2, 13), storage::Outcome::Open);
-    let forgetful = storage::Root { nonces: vec![id::Nonce(12)], ..second.root.clone() };
-    assert_eq!(forgetful.outcome(0, id::Nonce(11)), storage::Outcome::Forgotten);
+    let truncated = storage::Root { nonces: vec![id::Nonce(12)], ..second.root.clone() };
+    assert_eq!(truncated.outcome(0, id::Nonce(11)), storage::Outcome::Forgotten);
 }
 
 #[test]
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn a_long_tail_is_folded_with_the_change_that_overflows_it() {
+fn the_change_that_makes_the_tail_too_long_compacts_it() {
     let mut root = storage::Root::default();
     let mut snapshot = sync::Arc::new(config::Snapshot::default());
     let mut previous = Vec::new();
-    let mut folds = Vec::new();
+    let mut compactions = Vec::new();
     for step in 0..160_u64 {
         let mut set = config::ChangeSet::default();
         set.puts.extend((0..20).flat_map(|rank| tier(rank).puts));
@@ -91,13 +91,16 @@
         let plan = storage::plan(&root, &snapshot, &set, id::Nonce(step)).unwrap();
         assert!(plan.root.to_text().unwrap().len() <= storage::ROOT_BYTES);
         if !plan.chunks.is_empty() {
-            folds.push(plan.root.version);
+            compactions.push(plan.root.version);
             previous = values(&plan);
         }
         (root, snapshot) = (plan.root, plan.snapshot);
     }
-    assert!(folds.len() >= 2, "folds at {folds:?}");
-    assert_eq!((root.folded, root.previous_fold), (folds[folds.len() - 1], folds[folds.len() - 2]));
+    assert!(compactions.len() >= 2, "compactions at {compactions:?}");
+    assert_eq!(
+        (root.folded, root.previous_fold),
+        (compactions[compactions.len() - 1], compactions[compactions.len() - 2])
+    );
     assert_eq!(root.rebuild(&previous).unwrap().resources(), snapshot.resources());
     let key = &root.chunks[0];
     assert!(!storage::obsolete(key, root.previous_fold));
@@ -106,7 +109,7 @@
 }
 
 #[test]
-fn a_lost_store_is_restored_at_the_same_version() {
+fn a_lost_configuration_is_restored_at_the_same_version() {
     let first = plan(&storage::Root::default(), &config::Snapshot::default(), 0, 11);
     let second = plan(&first.root, &first.snapshot, 1, 12);
     let restored = storage::restore(&first.root, &second.snapshot, id::Nonce(13)).unwrap();
@@ -116,7 +119,7 @@
 }
 
 #[test]
-fn a_history_never_goes_back() {
+fn the_version_of_a_history_never_decreases() {
     let mut history = storage::History::default();
     let first = plan(&storage::Root::default(), &config::Snapshot::default(), 0, 11);
     let second = plan(&first.root, &first.snapshot, 1, 12);
@@ -136,14 +139,14 @@
     history.extend(plan.root.tail.clone()).unwrap();
     assert_eq!(history.answer(0, None), storage::Answer::Changes(plan.root.tail));
     assert_eq!(history.answer(1, None), storage::Answer::Changes(Vec::new()));
-    let whole = config::apply(&config::Snapshot::default(), &accounts(ACCOUNTS)).unwrap();
-    let whole = config::Snapshot::new(7, whole.resources().clone());
-    history.replace(sync::Arc::new(whole));
+    let snapshot = config::apply(&config::Snapshot::default(), &accounts(ACCOUNTS)).unwrap();
+    let snapshot = config::Snapshot::new(7, snapshot.resources().clone());
+    history.replace(sync::Arc::new(snapshot));
     let (mut read, mut after, mut pages) = (Vec::new(), None, 0);
     loop {
         let storage::Answer::Page { version, resources, more } = history.answer(1, after.as_ref())
         else {
-            panic!("changes that are not kept");
+            panic!("expected a page");
         };
         assert_eq!(version, 7);
         after = resources.last().map(resource::Resource::key);
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn a_broken_root_is_named() {
+fn an_invalid_root_is_refused() {
     let change = storage::Change { version: 2, nonce: id::Nonce(1), set: tier(0) };
     let gap = storage::Root { version: 2, tail: vec![change], ..storage::Root::default() };
     for text in ["", "{}", &gap.to_text().unwrap()] {
@@ -169,7 +172,7 @@
 
 proptest! {
     #[test]
-    fn writers_that_race_get_one_winner_a_version(order in prop::collection::vec(0..3_usize, 1..60)) {
+    fn one_of_several_racing_writers_creates_each_version(order in prop::collection::vec(0..3_usize, 1..60)) {
         let mut store = (0_u64, storage::Root::default());
         let mut seen = [store.clone(), store.clone(), store.clone()];
         let mut wins = Vec::new();
