--- a/crates/decide/src/coordinate/action.rs
+++ b/crates/decide/src/coordinate/action.rs
@@ -21,14 +21,14 @@
     Resume {
         /// The endpoint that runs the request.
         endpoint: id::EndpointName,
-        /// The number of tokens that have been received.
+        /// The first output offset that has not been received yet, in tokens.
         offset: u64,
     },
     /// Follow the answer at the coordinator, which may not have dispatched the request yet.
     Attach {
         /// The coordinator.
         coordinator: id::Incarnation,
-        /// The number of tokens that have been received.
+        /// The first output offset that has not been received yet, in tokens.
         offset: u64,
     },
     /// Cancel the stream at the endpoint, because no caller will receive its answer.
--- a/crates/decide/src/coordinate/admission.rs
+++ b/crates/decide/src/coordinate/admission.rs
@@ -7,7 +7,8 @@
 pub enum Recording {
     /// The intent must be recorded before the dispatch.
     Required,
-    /// Only this daemon may dispatch the identifier, or the policy accepts the risk.
+    /// Only this daemon may dispatch the identifier, or the policy accepts the risk of a second
+    /// dispatch.
     Unrecorded,
 }
 
--- a/crates/decide/src/coordinate/admit.rs
+++ b/crates/decide/src/coordinate/admit.rs
@@ -8,7 +8,7 @@
 
 /// Creates the identifier of a request that arrived without one.
 ///
-/// With [`Recording::Unrecorded`] the identifier is retry as unrecorded, and no other daemon ever
+/// With [`Recording::Unrecorded`] the identifier is marked as unrecorded, and no other daemon ever
 /// dispatches the request.
 pub fn issue(uuid: uuid::Uuid, own: id::Incarnation, recording: Recording) -> id::RequestId {
     match recording {
--- a/crates/decide/src/coordinate/answer.rs
+++ b/crates/decide/src/coordinate/answer.rs
@@ -7,7 +7,7 @@
 impl RequestState {
     /// Delivers the tokens that continue the answer.
     ///
-    /// A chunk of another request, or one after a gap, makes the answer be fetched again.
+    /// A chunk of another request or after a gap is dropped, and the rest of the answer is fetched again.
     pub(super) fn chunk(&mut self, mut chunk: request::Chunk) -> Vec<Action> {
         if !matches!(self.phase, Phase::Dispatched { .. } | Phase::Following { .. }) {
             return vec![];
--- a/crates/decide/src/coordinate/input.rs
+++ b/crates/decide/src/coordinate/input.rs
@@ -38,7 +38,7 @@
 /// An event for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// The record was read.
+    /// The attempt to read the record ended.
     LookedUp(LookUp),
     /// The scheduler granted a permit.
     Permit(request::Permit),
--- a/crates/decide/src/coordinate/mod.rs
+++ b/crates/decide/src/coordinate/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The coordinator is the daemon that accepted a request. It is the only process that sends the request
 //! to an endpoint. [`admit`] decides whether and how an arriving request is accepted.
-//! [`RequestState::step`] is the only function that changes the state of a request. The model checker
+//! [`RequestState::step`] is the only function that changes the phase of a request. The model checker
 //! explores these same functions.
 
 mod action;
--- a/crates/decide/src/coordinate/phase.rs
+++ b/crates/decide/src/coordinate/phase.rs
@@ -29,7 +29,8 @@
 /// The phase of a request at one daemon.
 ///
 /// A request moves from `Waiting` to `Recorded`, `Dispatched` and `Answered`, or to `Refused`. In
-/// `Following` it receives the answer to a dispatch by another daemon.
+/// `Following` it receives the answer to a dispatch by another daemon, or by this daemon under an earlier
+/// nonce.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     /// This daemon has not dispatched the request.
@@ -44,7 +45,8 @@
         /// Whether any chunk of the answer has arrived.
         has_chunk: bool,
     },
-    /// Another daemon may have dispatched the request; this daemon never will.
+    /// Another daemon, or this one under an earlier nonce, may have dispatched the request; this state never
+    /// dispatches it.
     Following {
         /// The coordinator, while it may still be running.
         coordinator: Option<id::Incarnation>,
--- a/crates/decide/src/intents/outcome.rs
+++ b/crates/decide/src/intents/outcome.rs
@@ -15,7 +15,7 @@
     Unsure,
     /// The record was not written, and this commit's writes will never take effect.
     Unavailable,
-    /// The identifier's time is outside the retention, or its slot was deleted; nothing was written.
+    /// The identifier is too old or from the future, or its slot was deleted; nothing was written.
     Expired,
 }
 
--- a/crates/decide/src/orders/controller.rs
+++ b/crates/decide/src/orders/controller.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Ends the holding and drops the open orders; orders in flight remain until their result arrives.
+    /// Moves to `Idle` and drops the open orders; orders in flight remain until their result arrives.
     fn lose_lease(&mut self, now: Timestamp) {
         if self.held_lease().is_none() {
             return;
