--- a/crates/wire/src/endpoint/answer_stream.rs
+++ b/crates/wire/src/endpoint/answer_stream.rs
@@ -1,4 +1,4 @@
-//! A stream that is resumed when its connection fails.
+//! An answer stream that is resumed when its connection fails.
 
 use std::time;
 
@@ -9,31 +9,32 @@
 
 /// Reads the answer to one request, chunk by chunk.
 ///
-/// Every chunk is checked: it names the request and continues it without a gap or an overlap. A
-/// connection that is silent for too long, breaks off, or carries a chunk that fails the check is
-/// given up, and the stream is resumed on a new one at the last offset. Nothing is ever started
-/// again.
+/// Every chunk is checked: it must name the request and continue its tokens without a gap or an
+/// overlap. A connection that is silent for too long, fails, or carries a chunk that fails the
+/// check is dropped, and the stream is resumed on a new connection at the last offset. The request
+/// is never started again.
 #[derive(Debug)]
 pub struct AnswerStream {
     client: endpoint::EngineClient,
     key: id::RequestKey,
     /// The offset of the next token.
     offset: u64,
-    /// The connection; `None` while there is none.
+    /// The reader of the current connection; `None` while there is no connection.
     reader: Option<http::EventReader>,
-    /// Since when there has been no word from the engine.
-    lost: Option<Instant>,
-    /// Answers in a row that broke the protocol.
-    faults: u32,
+    /// When the connection first failed after the last chunk or heartbeat; `None` if it has not.
+    failing_since: Option<Instant>,
+    /// How many protocol violations have come without a valid chunk between them.
+    consecutive_faults: u32,
     resumes: u32,
     finish: Option<request::Finish>,
 }
 
+/// The result of one attempt to read the next event.
 enum Attempt {
     Chunk(request::Chunk),
-    Beat,
-    /// The connection is of no more use.
-    Broken(String),
+    Heartbeat,
+    /// The connection failed, ended early or could not be opened.
+    Disconnected(String),
     Fault(endpoint::Fault),
 }
 
@@ -51,7 +52,16 @@
         key: id::RequestKey,
         offset: u64,
     ) -> Self {
-        Self { client, key, offset, reader: None, lost: None, faults: 0, resumes: 0, finish: None }
+        Self {
+            client,
+            key,
+            offset,
+            reader: None,
+            failing_since: None,
+            consecutive_faults: 0,
+            resumes: 0,
+            finish: None,
+        }
     }
 
     /// Returns the offset of the next token.
@@ -59,28 +69,28 @@
         self.offset
     }
 
-    /// Returns how many connections were opened to go on after a fault.
+    /// Returns how many times a connection was dropped so that the stream could be resumed.
     pub const fn resumes(&self) -> u32 {
         self.resumes
     }
 
     /// Returns the next chunk, or `None` after the last one.
     ///
-    /// The last chunk says how the answer ended. Dropping the returned future loses nothing: the
-    /// next call goes on.
+    /// The last chunk says how the answer ended. Dropping the returned future loses no chunk: the
+    /// next call continues from the same offset.
     pub async fn next(&mut self) -> Result<Option<request::Chunk>, endpoint::StreamError> {
         while self.finish.is_none() {
-            match self.attempt().await? {
+            match self.read_event().await? {
                 Attempt::Chunk(chunk) => return Ok(Some(self.accept(chunk))),
-                Attempt::Beat => self.lost = None,
-                Attempt::Broken(detail) => self.give_up_or_pause(detail).await?,
-                Attempt::Fault(fault) => self.count(fault)?,
+                Attempt::Heartbeat => self.failing_since = None,
+                Attempt::Disconnected(detail) => self.give_up_or_pause(detail).await?,
+                Attempt::Fault(fault) => self.record_fault(fault)?,
             }
         }
         Ok(None)
     }
 
-    async fn attempt(&mut self) -> Result<Attempt, endpoint::StreamError> {
+    async fn read_event(&mut self) -> Result<Attempt, endpoint::StreamError> {
         if self.reader.is_none() {
             match self.client.open(&self.key, self.offset).await {
                 Ok(Some(reader)) => self.reader = Some(reader),
@@ -88,25 +98,25 @@
                 Err(error) if error.kind == trefoildyke_types::error::ErrorKind::Invalid => {
                     return Err(endpoint::StreamError::Invalid(error));
                 }
-                Err(error) => return Ok(Attempt::Broken(error.to_string())),
+                Err(error) => return Ok(Attempt::Disconnected(error.to_string())),
             }
         }
         let silence = self.client.limits().silence;
         let Some(reader) = &mut self.reader else {
-            return Ok(Attempt::Broken("no connection".to_owned()));
+            return Ok(Attempt::Disconnected("no connection".to_owned()));
         };
         Ok(match reader.next(silence).await {
-            Ok(Some(http::Event::Comment)) => Attempt::Beat,
-            Ok(Some(http::Event::Message { data, .. })) => self.check(&data),
-            Ok(None) => Attempt::Broken("the stream ended before its last chunk".to_owned()),
+            Ok(Some(http::Event::Comment)) => Attempt::Heartbeat,
+            Ok(Some(http::Event::Message { data, .. })) => self.check_chunk(&data),
+            Ok(None) => Attempt::Disconnected("the stream ended before its last chunk".to_owned()),
             Err(http::CallError::Unusable(detail)) => {
                 Attempt::Fault(endpoint::Fault::Malformed(detail))
             }
-            Err(error) => Attempt::Broken(error.to_string()),
+            Err(error) => Attempt::Disconnected(error.to_string()),
         })
     }
 
-    fn check(&self, data: &str) -> Attempt {
+    fn check_chunk(&self, data: &str) -> Attempt {
         let chunk = match serde_json::from_str::<request::Chunk>(data) {
             Ok(chunk) => chunk,
             Err(error) => return Attempt::Fault(endpoint::Fault::Malformed(error.to_string())),
@@ -126,8 +136,8 @@
     fn accept(&mut self, chunk: request::Chunk) -> request::Chunk {
         self.offset += chunk.tokens.len() as u64;
         self.finish = chunk.finish;
-        self.lost = None;
-        self.faults = 0;
+        self.failing_since = None;
+        self.consecutive_faults = 0;
         if self.finish.is_some() {
             self.reader = None;
         }
@@ -136,18 +146,18 @@
 
     async fn give_up_or_pause(&mut self, detail: String) -> Result<(), endpoint::StreamError> {
         self.drop_connection();
-        let since = *self.lost.get_or_insert_with(Instant::now);
+        let since = *self.failing_since.get_or_insert_with(Instant::now);
         if since.elapsed() >= self.client.limits().give_up {
             return Err(endpoint::StreamError::Unreachable(detail));
         }
-        tokio::time::sleep(self.pause()).await;
+        tokio::time::sleep(self.retry_delay()).await;
         Ok(())
     }
 
-    fn count(&mut self, fault: endpoint::Fault) -> Result<(), endpoint::StreamError> {
+    fn record_fault(&mut self, fault: endpoint::Fault) -> Result<(), endpoint::StreamError> {
         self.drop_connection();
-        self.faults += 1;
-        if self.faults >= self.client.limits().faults {
+        self.consecutive_faults += 1;
+        if self.consecutive_faults >= self.client.limits().faults {
             return Err(endpoint::StreamError::Protocol(fault));
         }
         Ok(())
@@ -159,9 +169,13 @@
         }
     }
 
-    /// Waits less after the first failure: a new connection often works at once.
-    fn pause(&self) -> time::Duration {
-        let fresh = self.lost.is_none_or(|since| since.elapsed() < self.client.limits().pause);
-        if fresh { time::Duration::from_millis(1) } else { self.client.limits().pause }
+    /// Returns the delay before the next attempt to resume.
+    ///
+    /// The delay is 1 ms until the first failure is `Limits::pause` ago, because a new connection
+    /// often works at once, and `Limits::pause` after that.
+    fn retry_delay(&self) -> time::Duration {
+        let recent =
+            self.failing_since.is_none_or(|since| since.elapsed() < self.client.limits().pause);
+        if recent { time::Duration::from_millis(1) } else { self.client.limits().pause }
     }
 }
--- a/crates/wire/src/endpoint/engine_client.rs
+++ b/crates/wire/src/endpoint/engine_client.rs
@@ -10,18 +10,18 @@
     http,
 };
 
-/// Speaks to one model engine. Clones share connections.
+/// Calls one model engine. Clones share connections.
 ///
-/// Each stream has a connection of its own, opened for it: so a failed connect proves that nothing
-/// was sent, and a connection that has gone silent while unused cannot swallow a start.
+/// Each stream opens its own connection. A failed connect then proves that nothing was sent, and a
+/// start cannot be lost on a pooled connection that stopped working while it was idle.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     address: net::SocketAddr,
     limits: endpoint::Limits,
     /// Opens a connection for each stream.
-    streams: http::Client,
-    /// Keeps connections for short calls.
-    calls: http::Client,
+    stream_client: http::Client,
+    /// Keeps connections open for short calls.
+    call_client: http::Client,
 }
 
 impl EngineClient {
@@ -29,12 +29,12 @@
     pub fn new(address: net::SocketAddr, limits: endpoint::Limits) -> Self {
         let pooled =
             http::ClientLimits { connect: limits.connect, body: limits.size, ..Default::default() };
-        let single = http::ClientLimits { pooled: 0, ..pooled };
+        let unpooled = http::ClientLimits { pooled: 0, ..pooled };
         Self {
             address,
             limits,
-            streams: http::Client::new(single),
-            calls: http::Client::new(pooled),
+            stream_client: http::Client::new(unpooled),
+            call_client: http::Client::new(pooled),
         }
     }
 
@@ -48,14 +48,14 @@
         &self.limits
     }
 
-    /// Starts a stream; sends the request once.
+    /// Starts a stream. The request is sent at most once.
     pub async fn start(
         &self,
         generate: &message::Generate,
     ) -> Result<endpoint::AnswerStream, endpoint::StartError> {
         let request = http::json_request(Method::POST, &self.uri("/v1/generate"), generate)
             .map_err(|error| endpoint::StartError::NotSent(error.to_string()))?;
-        let response = self.streams.open(request, self.limits.answer).await;
+        let response = self.stream_client.open(request, self.limits.answer).await;
         let response = response.map_err(|error| match error {
             http::CallError::NotSent(detail) => endpoint::StartError::NotSent(detail),
             http::CallError::Lost(detail) | http::CallError::Unusable(detail) => {
@@ -76,51 +76,51 @@
 
     /// Returns the stream of a request that was started earlier, from token `offset` on.
     ///
-    /// Nothing is sent before the first call of [`endpoint::AnswerStream::next`], and nothing that
-    /// could start work.
+    /// Nothing is sent before the first call of [`endpoint::AnswerStream::next`], and no request
+    /// that this stream sends can start work.
     pub fn resume(&self, key: &id::RequestKey, offset: u64) -> endpoint::AnswerStream {
         endpoint::AnswerStream::resumed(self.clone(), key.clone(), offset)
     }
 
-    /// Ends a stream and says whether the engine knew it.
+    /// Cancels a stream and returns whether the engine knew it.
     pub async fn cancel(&self, key: &id::RequestKey) -> Result<bool, error::Error> {
         let path = format!("/v1/streams/{}/{}", key.account, key.id);
         let response = self.call(Method::DELETE, &path).await?;
         match response.status() {
             StatusCode::OK => Ok(true),
             StatusCode::NOT_FOUND => Ok(false),
-            status => Err(self.unexpected(status)),
+            status => Err(self.unexpected_status(status)),
         }
     }
 
-    /// Reads the engine's load as it was a while ago.
+    /// Reads the engine's load report, which lags behind its current load.
     pub async fn load(&self) -> Result<engine::LoadReport, error::Error> {
         self.read("/v1/load").await
     }
 
-    /// Reads the cache events published since the call whose `next` was `after`, 0 for all.
+    /// Reads the cache events published after the page whose `next` was `after`; 0 reads all.
     pub async fn cache_events(&self, after: u64) -> Result<message::CachePage, error::Error> {
         self.read(&format!("/v1/cache/events?after={after}")).await
     }
 
-    /// Sends an order once, on a connection of its own, and waits for its end for at most `wait`.
+    /// Sends an order once, on its own connection, and waits for its result for at most `timeout`.
     ///
-    /// `may_write` is asked when the connection is open, as the last thing before anything is
-    /// written; if it says no, nothing is.
+    /// `may_write` is called when the connection is open, immediately before anything is written;
+    /// if it returns `false`, nothing is written.
     pub async fn order(
         &self,
         order: &message::Order,
-        wait: time::Duration,
+        timeout: time::Duration,
         may_write: impl FnOnce() -> bool,
     ) -> Result<(), endpoint::OrderError> {
         let request = http::json_request(Method::POST, "/v1/orders", order)
-            .and_then(|request| self.with_host(request))
+            .and_then(|request| self.with_host_header(request))
             .map_err(|error| endpoint::OrderError::NotSent(error.to_string()))?;
-        let sending = order_call::send(self.address, request, &self.limits, wait, may_write);
-        judge_order(&sending.await?, &order.order)
+        let sending = order_call::send(self.address, request, &self.limits, timeout, may_write);
+        check_order_reply(&sending.await?, &order.order)
     }
 
-    /// Opens the stream of a request from token `offset` on; `None` if the engine does not know it.
+    /// Opens the stream of a request at token `offset`; returns `None` if the engine does not know it.
     pub(super) async fn open(
         &self,
         key: &id::RequestKey,
@@ -128,23 +128,23 @@
     ) -> Result<Option<http::EventReader>, error::Error> {
         let path = format!("/v1/streams/{}/{}?offset={offset}", key.account, key.id);
         let request = self.empty_request(Method::GET, &path)?;
-        let response = self.streams.open(request, self.limits.answer).await;
-        let response = response.map_err(|error| error.reading().about(&self.address))?;
+        let response = self.stream_client.open(request, self.limits.answer).await;
+        let response = response.map_err(|error| error.as_read_error().about(&self.address))?;
         match response.status() {
             StatusCode::OK => {
                 Ok(Some(http::EventReader::new(response.into_body(), self.limits.size)))
             }
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(self.unexpected(status)),
+            status => Err(self.unexpected_status(status)),
         }
     }
 
     async fn read<T: serde::de::DeserializeOwned>(&self, path: &str) -> Result<T, error::Error> {
         let response = self.call(Method::GET, path).await?;
         if response.status() != StatusCode::OK {
-            return Err(self.unexpected(response.status()));
+            return Err(self.unexpected_status(response.status()));
         }
-        http::parse(&response).map_err(|error| error.reading().about(&self.address))
+        http::parse(&response).map_err(|error| error.as_read_error().about(&self.address))
     }
 
     async fn call(
@@ -153,8 +153,8 @@
         path: &str,
     ) -> Result<hyper::Response<bytes::Bytes>, error::Error> {
         let request = self.empty_request(method, path)?;
-        let response = self.calls.call(request, self.limits.answer).await;
-        response.map_err(|error| error.reading().about(&self.address))
+        let response = self.call_client.call(request, self.limits.answer).await;
+        response.map_err(|error| error.as_read_error().about(&self.address))
     }
 
     fn empty_request(
@@ -168,7 +168,7 @@
             .map_err(|error| error::Error::new(error::ErrorKind::Invalid, error.to_string()))
     }
 
-    fn with_host(
+    fn with_host_header(
         &self,
         mut request: hyper::Request<bytes::Bytes>,
     ) -> Result<hyper::Request<bytes::Bytes>, error::Error> {
@@ -178,7 +178,7 @@
         Ok(request)
     }
 
-    fn unexpected(&self, status: StatusCode) -> error::Error {
+    fn unexpected_status(&self, status: StatusCode) -> error::Error {
         let message = format!("the engine answered with status {status}");
         error::Error::new(error::ErrorKind::Unavailable, message).about(&self.address)
     }
@@ -188,7 +188,7 @@
     }
 }
 
-fn judge_order(
+fn check_order_reply(
     response: &hyper::Response<bytes::Bytes>,
     order: &str,
 ) -> Result<(), endpoint::OrderError> {
@@ -214,13 +214,15 @@
     Ok(())
 }
 
-/// Reads what an endpoint says about a refusal; only its beginning, since a person reads it.
+/// Returns the body of a refusal as text for a person.
+///
+/// Returns an error text instead if the body is longer than 4,096 bytes or cannot be read.
 pub(super) async fn read_detail(
     response: hyper::Response<hyper::body::Incoming>,
     limits: &endpoint::Limits,
 ) -> String {
-    const LONGEST: usize = 4_096;
-    match http::read_body(response.into_body(), LONGEST, limits.answer).await {
+    const MAX_DETAIL_BYTES: usize = 4_096;
+    match http::read_body(response.into_body(), MAX_DETAIL_BYTES, limits.answer).await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(error) => error.to_string(),
     }
--- a/crates/wire/src/endpoint/limits.rs
+++ b/crates/wire/src/endpoint/limits.rs
@@ -1,25 +1,27 @@
-//! Limits of the clients for endpoints.
+//! Timeouts and limits of the clients for endpoints.
 
 use std::time;
 
-/// Limits how long the clients for endpoints wait.
+/// Timeouts and limits of the clients for endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// How long opening a connection may take.
+    /// The longest time for opening a connection.
     pub connect: time::Duration,
-    /// How long an answer's head may take, and a call without a stream.
+    /// The longest time until the head of a streamed answer has arrived, and the longest time for a
+    /// whole call without a stream.
     pub answer: time::Duration,
-    /// How long a stream may stay without a chunk or a beat before its connection is replaced.
+    /// The longest time a stream may carry neither a chunk nor a heartbeat before its connection is
+    /// replaced.
     ///
-    /// Engines beat every 500 ms.
+    /// Engines send a heartbeat every 500 ms.
     pub silence: time::Duration,
-    /// How long attempts to resume a stream go on before the stream is given up.
+    /// How long attempts to resume a stream continue before reading it fails.
     pub give_up: time::Duration,
-    /// The pause between two attempts to resume.
+    /// The delay between two attempts to resume; the first attempts wait only 1 ms.
     pub pause: time::Duration,
-    /// How many answers in a row may break the protocol before the stream is given up.
+    /// The number of consecutive protocol violations at which reading a stream fails.
     pub faults: u32,
-    /// The longest chunk, and the longest answer without a stream, in bytes.
+    /// The largest chunk and the largest answer without a stream, in bytes.
     pub size: usize,
 }
 
--- a/crates/wire/src/endpoint/message/cache_page.rs
+++ b/crates/wire/src/endpoint/message/cache_page.rs
@@ -1,13 +1,13 @@
-//! `GET /v1/cache/events`
+//! The answer of `GET /v1/cache/events`.
 
 use trefoildyke_types::engine;
 
-/// Holds the cache events that an engine has published since the last call.
+/// The cache events that an engine has published since the last call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CachePage {
-    /// The events, in the order of their `seq`.
+    /// The events, sorted by `seq`.
     pub events: Vec<engine::CacheEvent>,
-    /// The `after` of the next call.
+    /// The value to pass as `after` in the next call.
     pub next: u64,
 }
--- a/crates/wire/src/endpoint/message/generate.rs
+++ b/crates/wire/src/endpoint/message/generate.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/generate`
+//! The body of `POST /v1/generate`.
 
 use trefoildyke_types::id;
 
@@ -6,22 +6,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Generate {
-    /// The request's identifier.
+    /// The request's ID.
     pub id: id::RequestId,
-    /// The account that sent it.
+    /// The client account that sent the request.
     pub account: id::AccountName,
     /// The prompt's length in tokens.
     pub prompt_tokens: u32,
-    /// Hashes of the prompt's blocks in order, each covering all before it.
+    /// Hashes of the prompt's blocks, in order; each hash also covers all earlier blocks.
     pub prefix: Vec<u64>,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
     /// The prompt.
     pub input: String,
 }
 
 impl Generate {
-    /// Returns the key under which the engine knows the stream.
+    /// Returns the key that identifies the stream at the engine.
     pub fn key(&self) -> id::RequestKey {
         id::RequestKey { account: self.account.clone(), id: self.id }
     }
--- a/crates/wire/src/endpoint/message/mod.rs
+++ b/crates/wire/src/endpoint/message/mod.rs
@@ -1,4 +1,4 @@
-//! Bodies of the calls to endpoints.
+//! Request and answer bodies of the calls to endpoints.
 
 mod cache_page;
 mod generate;
--- a/crates/wire/src/endpoint/message/order.rs
+++ b/crates/wire/src/endpoint/message/order.rs
@@ -1,15 +1,15 @@
-//! `POST /v1/orders`
+//! The body of `POST /v1/orders`.
 
 use trefoildyke_types::resource;
 
-/// Tells an engine to do something, under a fencing token.
+/// An instruction to an engine, protected by a fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// The order's name; the same in every attempt to carry it out.
+    /// The order's name; every attempt to carry the order out uses the same name.
     pub order: String,
-    /// The fencing token: the revision at which the sender's lease was taken.
+    /// The fencing token: the revision at which the sender acquired its lease.
     pub fence: u64,
-    /// What to do.
+    /// The action to carry out.
     pub action: resource::OrderAction,
 }
--- a/crates/wire/src/endpoint/message/order_done.rs
+++ b/crates/wire/src/endpoint/message/order_done.rs
@@ -1,19 +1,19 @@
 //! The answer to an order that was carried out.
 
-/// Says how an order ended.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderResult {
-    /// It was carried out.
+    /// The order was carried out.
     Done,
 }
 
-/// Answers an order that was carried out.
+/// The answer to an order that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrderDone {
     /// The order's name.
     pub order: String,
-    /// How it ended.
+    /// The order's result.
     pub result: OrderResult,
 }
--- a/crates/wire/src/endpoint/message/service_reply.rs
+++ b/crates/wire/src/endpoint/message/service_reply.rs
@@ -1,13 +1,13 @@
-//! `POST /v1/call/OPERATION`
+//! The answer of `POST /v1/call/OPERATION`.
 
 use trefoildyke_types::id;
 
-/// Answers a call of a plain service.
+/// The answer to a call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceReply {
-    /// The request that is answered.
+    /// The ID of the answered request.
     pub id: id::RequestId,
-    /// The output.
+    /// The operation's output.
     pub output: String,
 }
--- a/crates/wire/src/endpoint/message/stale_fence.rs
+++ b/crates/wire/src/endpoint/message/stale_fence.rs
@@ -1,6 +1,6 @@
-//! The answer to an order with an old fencing token.
+//! The answer to an order with an outdated fencing token.
 
-/// Refuses an order because a newer fencing token has been seen.
+/// The refusal of an order because the engine has seen a newer fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StaleFence {
--- a/crates/wire/src/endpoint/mod.rs
+++ b/crates/wire/src/endpoint/mod.rs
@@ -1,7 +1,7 @@
 //! Clients for endpoints: model engines and plain services.
 //!
-//! What starts work is sent once, on a connection of its own, and never again. Errors say whether
-//! anything was sent, because only then may the work have been started.
+//! A message that starts work is sent at most once, on its own connection, and is never retried.
+//! Errors say whether anything was sent, because work can only have started if something was.
 
 mod answer_stream;
 mod engine_client;
--- a/crates/wire/src/endpoint/order_call.rs
+++ b/crates/wire/src/endpoint/order_call.rs
@@ -1,4 +1,4 @@
-//! One order over a connection of its own.
+//! Sends one order over its own connection.
 
 use std::{net, time};
 
@@ -12,13 +12,13 @@
 
 /// Sends a request once and returns the answer.
 ///
-/// `may_write` is asked when the connection is open, as the last thing before the request is
-/// written; opening takes long, so a permission from before says little.
+/// `may_write` is called when the connection is open, immediately before the request is written.
+/// Opening a connection can take long, so a check before it could be outdated by then.
 pub(super) async fn send(
     address: net::SocketAddr,
     request: hyper::Request<bytes::Bytes>,
     limits: &endpoint::Limits,
-    wait: time::Duration,
+    timeout: time::Duration,
     may_write: impl FnOnce() -> bool,
 ) -> Result<Response, endpoint::OrderError> {
     let not_sent = |error: &dyn std::fmt::Display| endpoint::OrderError::NotSent(error.to_string());
@@ -30,12 +30,12 @@
         return Err(endpoint::OrderError::TooLate);
     }
     let exchange = exchange(sender, request, limits.size);
-    let both = async { tokio::join!(exchange, connection).0 };
-    let answer = tokio::time::timeout(wait, both).await;
+    let joined = async { tokio::join!(exchange, connection).0 };
+    let answer = tokio::time::timeout(timeout, joined).await;
     answer.unwrap_or_else(|_| Err(endpoint::OrderError::Unknown("no answer in time".to_owned())))
 }
 
-/// Exchanges request and answer, and then drops the sender, which ends the connection.
+/// Sends the request and reads the answer, then drops the sender, which closes the connection.
 async fn exchange(
     mut sender: http1::SendRequest<Full<bytes::Bytes>>,
     request: hyper::Request<bytes::Bytes>,
--- a/crates/wire/src/endpoint/service_client.rs
+++ b/crates/wire/src/endpoint/service_client.rs
@@ -10,7 +10,7 @@
     http,
 };
 
-/// Speaks to one plain service. Clones share limits; each call has a connection of its own.
+/// Calls one plain service. Clones share limits; each call opens its own connection.
 #[derive(Clone, Debug)]
 pub struct ServiceClient {
     address: net::SocketAddr,
@@ -20,13 +20,13 @@
 impl ServiceClient {
     /// Creates a client without connections.
     pub fn new(address: net::SocketAddr, limits: endpoint::Limits) -> Self {
-        let single = http::ClientLimits {
+        let unpooled = http::ClientLimits {
             connect: limits.connect,
             body: limits.size,
             pooled: 0,
             ..Default::default()
         };
-        Self { address, client: http::Client::new(single) }
+        Self { address, client: http::Client::new(unpooled) }
     }
 
     /// Returns the service's address.
@@ -34,22 +34,22 @@
         self.address
     }
 
-    /// Calls an operation; sends the call once and waits for the answer for at most `wait`.
+    /// Calls an operation. The call is sent at most once and fails if no answer comes in `timeout`.
     pub async fn call(
         &self,
         key: &id::RequestKey,
         operation: &str,
         input: &str,
-        wait: time::Duration,
+        timeout: time::Duration,
     ) -> Result<message::ServiceReply, endpoint::StartError> {
         let request = self.request(key, operation, input)?;
-        let response = self.client.call(request, wait).await.map_err(|error| match error {
+        let response = self.client.call(request, timeout).await.map_err(|error| match error {
             http::CallError::NotSent(detail) => endpoint::StartError::NotSent(detail),
             http::CallError::Lost(detail) | http::CallError::Unusable(detail) => {
                 endpoint::StartError::Unknown(detail)
             }
         })?;
-        judge(&response, &key.id)
+        check_reply(&response, &key.id)
     }
 
     fn request(
@@ -68,7 +68,7 @@
     }
 }
 
-fn judge(
+fn check_reply(
     response: &hyper::Response<bytes::Bytes>,
     id: &id::RequestId,
 ) -> Result<message::ServiceReply, endpoint::StartError> {
--- a/crates/wire/src/endpoint/start_error.rs
+++ b/crates/wire/src/endpoint/start_error.rs
@@ -1,11 +1,11 @@
-//! How starting work at an endpoint can fail.
+//! Errors of starting work at an endpoint.
 
 use crate::endpoint;
 
-/// Says why work was not seen to start, and whether it can have started all the same.
+/// The reason why work is not known to have started, and whether it can have started anyway.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    /// Nothing was sent, so nothing was started and nothing will be.
+    /// Nothing was sent, so the work was not and will not be started.
     #[error("nothing was sent to the endpoint: {0}; check that it runs and is reachable")]
     NotSent(String),
     /// The endpoint refused the work without starting it.
@@ -13,13 +13,13 @@
     Refused {
         /// The HTTP status, from 400 to 499.
         status: u16,
-        /// What the endpoint says.
+        /// The body of the endpoint's answer.
         detail: String,
     },
-    /// The work was sent; it may have been started or may still be.
+    /// The work was sent; it may have been started or may be started later.
     #[error("sent, outcome unknown: {0}; ask the endpoint for the stream, never send it again")]
     Unknown(String),
-    /// The endpoint ran something, but its answer does not belong to the request.
+    /// The endpoint answered with success, but the answer is malformed or belongs to another request.
     #[error("{0}")]
     Protocol(endpoint::Fault),
 }
--- a/crates/wire/src/endpoint/stream_error.rs
+++ b/crates/wire/src/endpoint/stream_error.rs
@@ -1,24 +1,24 @@
-//! How reading a stream can fail for good.
+//! Errors that end reading a stream.
 
 use trefoildyke_types::error;
 
 use crate::endpoint;
 
-/// Says why the rest of a stream cannot be had.
+/// The reason why the rest of a stream cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// The endpoint does not know the stream.
     ///
-    /// That does not prove that it never runs: its start may still be on the way.
+    /// The work can still run later: the message that starts it may not have arrived yet.
     #[error("the endpoint does not know the stream; its outcome is unknown")]
     NotFound,
-    /// The endpoint could not be reached for the whole time that attempts go on.
+    /// No attempt to reach the endpoint succeeded within [`endpoint::Limits::give_up`].
     #[error("the endpoint is out of reach: {0}; ask again later")]
     Unreachable(String),
-    /// The endpoint's answers kept breaking the protocol.
+    /// Too many consecutive answers of the endpoint violated the protocol.
     #[error("{0}")]
     Protocol(endpoint::Fault),
-    /// The stream cannot be asked for.
+    /// No valid HTTP request can be made for the stream.
     #[error("{0}")]
     Invalid(error::Error),
 }
--- a/crates/wire/src/http/client.rs
+++ b/crates/wire/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A pooled client with a deadline on every call.
+//! An HTTP client with a connection pool and a deadline on every call.
 
 use std::{sync, time};
 
@@ -13,8 +13,8 @@
 
 /// Sends requests over pooled connections.
 ///
-/// A call that meets its deadline gives up its connection, and the whole pool is replaced: when
-/// one connection has gone silent, its unused neighbours may have as well. Clones share the pool.
+/// When a call exceeds its deadline, its connection is dropped and the whole pool is replaced: if
+/// one connection has stopped working, the idle ones may have too. Clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     shared: sync::Arc<Shared>,
@@ -27,8 +27,9 @@
     current: sync::RwLock<Generation>,
 }
 
-/// One pool. `number` rises with each replacement, so that calls which fail together replace it
-/// once.
+/// A connection pool and its generation number.
+///
+/// Each replacement increments `number`, so that calls which fail together replace the pool once.
 #[derive(Clone, Debug)]
 struct Generation {
     number: u64,
@@ -44,20 +45,20 @@
         Self { shared: sync::Arc::new(shared) }
     }
 
-    /// Sends a request and reads the whole answer within `deadline`.
+    /// Sends a request and reads the complete answer within `deadline`.
     pub async fn call(
         &self,
         request: hyper::Request<bytes::Bytes>,
         deadline: time::Duration,
     ) -> Result<hyper::Response<bytes::Bytes>, http::CallError> {
         let generation = self.generation();
-        let whole = self.exchange(&generation, request);
-        self.bounded(&generation, deadline, whole).await
+        let exchange = self.exchange(&generation, request);
+        self.with_deadline(&generation, deadline, exchange).await
     }
 
-    /// Sends a request and returns once the answer's head has come, within `deadline`.
+    /// Sends a request and returns when the head of the answer has arrived, within `deadline`.
     ///
-    /// The reader of the body bounds its own waits; see [`http::EventReader`].
+    /// The deadline does not cover the body; [`http::EventReader`] has its own timeout for each read.
     pub async fn open(
         &self,
         request: hyper::Request<bytes::Bytes>,
@@ -65,17 +66,17 @@
     ) -> Result<hyper::Response<body::Incoming>, http::CallError> {
         let generation = self.generation();
         let head = send(&generation, request);
-        self.bounded(&generation, deadline, head).await
+        self.with_deadline(&generation, deadline, head).await
     }
 
-    /// Gives up all pooled connections, so that the next calls open new ones.
+    /// Replaces the connection pool, so that the next calls open new connections.
     pub fn replace_connections(&self) {
         self.replace(self.generation().number);
     }
 
-    /// Closes unused connections and waits until all connections have ended.
+    /// Closes idle connections and waits until all connections have ended.
     ///
-    /// Calls in progress hold their connections, so end those first.
+    /// Calls in progress keep their connections open, so end them first.
     pub async fn close(self) {
         self.replace_connections();
         self.shared.executor.join().await;
@@ -94,7 +95,7 @@
         Ok(hyper::Response::from_parts(head, body.to_bytes()))
     }
 
-    async fn bounded<T>(
+    async fn with_deadline<T>(
         &self,
         generation: &Generation,
         deadline: time::Duration,
@@ -136,7 +137,7 @@
     request: hyper::Request<bytes::Bytes>,
 ) -> Result<hyper::Response<body::Incoming>, http::CallError> {
     generation.pool.request(request.map(Full::new)).await.map_err(|error| {
-        let detail = describe(&error);
+        let detail = error_chain(&error);
         if error.is_connect() {
             http::CallError::NotSent(detail)
         } else {
@@ -145,9 +146,9 @@
     })
 }
 
-fn describe(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     match error.source() {
-        Some(source) => format!("{error}: {}", describe(source)),
+        Some(source) => format!("{error}: {}", error_chain(source)),
         None => error.to_string(),
     }
 }
--- a/crates/wire/src/http/client_limits.rs
+++ b/crates/wire/src/http/client_limits.rs
@@ -1,19 +1,19 @@
-//! Limits of a client.
+//! Limits of an HTTP client.
 
 use std::{net, time};
 
-/// Limits what a [`crate::http::Client`] spends.
+/// Timeouts and limits of a [`crate::http::Client`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// How long opening a connection may take.
+    /// The longest time for opening a connection.
     pub connect: time::Duration,
-    /// How long an unused connection is kept.
+    /// How long an idle connection is kept open.
     pub idle: time::Duration,
-    /// How many unused connections are kept for each address.
+    /// The maximum number of idle connections for each address; 0 disables reuse of connections.
     pub pooled: usize,
     /// The largest body of an answer, in bytes.
     pub body: usize,
-    /// The address that connections are opened from; `None` leaves it to the operating system.
+    /// The local address of connections; with `None` the operating system chooses one.
     pub local: Option<net::IpAddr>,
 }
 
--- a/crates/wire/src/http/event.rs
+++ b/crates/wire/src/http/event.rs
@@ -1,6 +1,6 @@
-//! One item of a server-sent event stream.
+//! Items of a server-sent event stream.
 
-/// Holds one item of a server-sent event stream.
+/// One item of a server-sent event stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A message.
@@ -10,6 +10,6 @@
         /// The data lines, joined by line feeds.
         data: String,
     },
-    /// A comment line, which shows that the other side still lives.
+    /// An item without data lines, such as a comment; it shows that the other side is alive.
     Comment,
 }
--- a/crates/wire/src/http/event_reader.rs
+++ b/crates/wire/src/http/event_reader.rs
@@ -1,4 +1,4 @@
-//! Reads server-sent events.
+//! Reading server-sent events.
 
 use std::time;
 
@@ -11,23 +11,26 @@
 #[derive(Debug)]
 pub struct EventReader {
     body: body::Incoming,
-    /// What has come and is not yet a whole item; never longer than `limit` plus one frame.
+    /// Received bytes that have not been returned yet; at most `limit` plus one frame.
     buffer: bytes::BytesMut,
     limit: usize,
 }
 
 impl EventReader {
-    /// Creates a reader that refuses an item longer than `limit` bytes.
+    /// Creates a reader that fails if an incomplete item is longer than `limit` bytes.
     pub fn new(body: body::Incoming, limit: usize) -> Self {
         Self { body, buffer: bytes::BytesMut::new(), limit }
     }
 
-    /// Returns the next item, or `None` at the proper end of the stream.
+    /// Returns the next item, or `None` if the stream ended after a complete item.
     ///
-    /// Fails with [`http::CallError::Lost`] if nothing came for `silence` or the stream broke off.
+    /// # Errors
+    ///
+    /// [`http::CallError::Lost`] if nothing arrived for `timeout` or the stream ended within an item;
+    /// [`http::CallError::Unusable`] if an item is too long or not UTF-8.
     pub async fn next(
         &mut self,
-        silence: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Option<http::Event>, http::CallError> {
         loop {
             if let Some(item) = self.take_item() {
@@ -37,15 +40,15 @@
                 let detail = format!("an event is longer than {} bytes", self.limit);
                 return Err(http::CallError::Unusable(detail));
             }
-            if !self.fill(silence).await? {
-                return self.finish();
+            if !self.fill_buffer(timeout).await? {
+                return self.check_end();
             }
         }
     }
 
-    async fn fill(&mut self, silence: time::Duration) -> Result<bool, http::CallError> {
-        let frame = tokio::time::timeout(silence, self.body.frame()).await.map_err(|_| {
-            http::CallError::Lost(format!("nothing came for {} ms", silence.as_millis()))
+    async fn fill_buffer(&mut self, timeout: time::Duration) -> Result<bool, http::CallError> {
+        let frame = tokio::time::timeout(timeout, self.body.frame()).await.map_err(|_| {
+            http::CallError::Lost(format!("nothing came for {} ms", timeout.as_millis()))
         })?;
         let Some(frame) = frame else {
             return Ok(false);
@@ -57,7 +60,7 @@
         Ok(true)
     }
 
-    fn finish(&self) -> Result<Option<http::Event>, http::CallError> {
+    fn check_end(&self) -> Result<Option<http::Event>, http::CallError> {
         if self.buffer.is_empty() {
             return Ok(None);
         }
@@ -76,9 +79,9 @@
     let mut name = String::new();
     let mut data = Vec::new();
     for line in text.lines() {
-        if let Some(value) = field(line, "data:") {
+        if let Some(value) = field_value(line, "data:") {
             data.push(value);
-        } else if let Some(value) = field(line, "event:") {
+        } else if let Some(value) = field_value(line, "event:") {
             value.clone_into(&mut name);
         }
     }
@@ -88,7 +91,7 @@
     Ok(http::Event::Message { name, data: data.join("\n") })
 }
 
-fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+fn field_value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let value = line.strip_prefix(name)?;
     Some(value.strip_prefix(' ').unwrap_or(value))
 }
--- a/crates/wire/src/http/executor.rs
+++ b/crates/wire/src/http/executor.rs
@@ -1,14 +1,14 @@
-//! Runs the connection tasks of a client where they can be joined.
+//! An executor for `hyper` that can wait for its tasks.
 
 use hyper::rt;
 use tokio_util::task;
 
-/// Spawns futures that its owner can wait for.
+/// Spawns futures on tokio and tracks them, so that the owner can wait for them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Executor(task::TaskTracker);
 
 impl Executor {
-    /// Waits until every future has ended.
+    /// Waits until every spawned future has ended.
     pub(crate) async fn join(&self) {
         self.0.close();
         self.0.wait().await;
--- a/crates/wire/src/http/mod.rs
+++ b/crates/wire/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! Small helpers over `hyper` that all clients and servers share.
+//! HTTP clients and servers on top of `hyper`, shared by the rest of the crate.
 //!
-//! - [`Client`] sends requests with a deadline on every call and replaces connections that have
-//!   gone silent.
-//! - [`Server`] accepts connections within limits and joins the task of each one.
+//! - [`Client`] sends requests with a deadline on every call and replaces its connections when a
+//!   call exceeds it.
+//! - [`Server`] accepts connections within limits and joins the task of each connection.
 //! - [`EventSender`] and [`EventReader`] write and read server-sent events.
 
 mod body;
--- a/crates/wire/src/http/reply.rs
+++ b/crates/wire/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! JSON requests and answers.
+//! JSON bodies of requests and answers.
 
 use std::time;
 
@@ -10,7 +10,7 @@
 
 const JSON: header::HeaderValue = header::HeaderValue::from_static("application/json");
 
-/// Creates an answer with a JSON body.
+/// Creates an answer with a JSON body; its status is 500 if `content` cannot be encoded.
 pub fn json(
     status: hyper::StatusCode,
     content: &impl serde::Serialize,
@@ -41,7 +41,7 @@
         .map_err(|error| error::Error::new(error::ErrorKind::Invalid, error.to_string()).at(uri))
 }
 
-/// Reads an answer's JSON body.
+/// Parses an answer's JSON body.
 pub fn parse<T: serde::de::DeserializeOwned>(
     response: &hyper::Response<bytes::Bytes>,
 ) -> Result<T, http::CallError> {
@@ -49,16 +49,17 @@
         .map_err(|error| http::CallError::Unusable(error.to_string()))
 }
 
-/// Reads a request's body of at most `limit` bytes within `deadline`.
+/// Reads a body of at most `limit` bytes within `deadline`.
 ///
-/// Fails with kind `TooLarge` if it is longer, and `Unavailable` if it does not come.
+/// Fails with kind `TooLarge` if the body is longer, and with `Unavailable` if it does not arrive in
+/// time or reading it fails.
 pub async fn read_body(
     body: body::Incoming,
     limit: usize,
     deadline: time::Duration,
 ) -> Result<bytes::Bytes, error::Error> {
-    let whole = Limited::new(body, limit).collect();
-    match tokio::time::timeout(deadline, whole).await {
+    let collect = Limited::new(body, limit).collect();
+    match tokio::time::timeout(deadline, collect).await {
         Ok(Ok(content)) => Ok(content.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             let message = format!("the body is longer than {limit} bytes");
@@ -72,9 +73,9 @@
     }
 }
 
-/// Reads a request's JSON body of at most `limit` bytes within `deadline`.
+/// Reads a JSON body of at most `limit` bytes within `deadline`.
 ///
-/// Fails as [`read_body`] does, and with kind `Invalid` if the body has another form.
+/// Fails as [`read_body`] does, and with kind `Invalid` if the body is not valid JSON for `T`.
 pub async fn read_json<T: serde::de::DeserializeOwned>(
     body: body::Incoming,
     limit: usize,
--- a/crates/wire/src/http/server.rs
+++ b/crates/wire/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections within limits and joins the task of each one.
+//! An HTTP server with limits that joins the task of each connection.
 
 use std::{net, sync, time};
 
@@ -10,22 +10,22 @@
 use crate::http;
 use crate::http::executor;
 
-/// Holds one request and where it came from.
+/// A request and the address that it came from.
 #[derive(Debug)]
 pub struct Call {
-    /// The other end's address.
+    /// The client's address.
     pub source: net::SocketAddr,
     /// The request; its body has not been read.
     pub request: hyper::Request<body::Incoming>,
 }
 
-/// Runs a server until it is stopped or dropped.
+/// An HTTP server that runs until it is stopped or dropped.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
-    stopping: cancel::CancellationToken,
-    killing: cancel::CancellationToken,
-    accepting: Option<task::JoinHandle<()>>,
+    shutdown: cancel::CancellationToken,
+    abort: cancel::CancellationToken,
+    accept_task: Option<task::JoinHandle<()>>,
 }
 
 impl Server {
@@ -43,19 +43,19 @@
         A: Future<Output = Result<hyper::Response<http::Body>, http::Aborted>> + Send + 'static,
     {
         let address = listener.local_addr()?;
-        let stopping = cancel::CancellationToken::new();
-        let killing = cancel::CancellationToken::new();
-        let streams = executor::Executor::default();
+        let shutdown = cancel::CancellationToken::new();
+        let abort = cancel::CancellationToken::new();
+        let stream_executor = executor::Executor::default();
         let acceptor = Acceptor {
             listener,
-            builder: sync::Arc::new(connection_builder(&limits, &streams)),
-            streams,
+            builder: sync::Arc::new(connection_builder(&limits, &stream_executor)),
+            stream_executor,
             limit: limits.connections,
-            stopping: stopping.clone(),
-            killing: killing.clone(),
+            shutdown: shutdown.clone(),
+            abort: abort.clone(),
         };
-        let accepting = Some(tokio::spawn(acceptor.run(handler)));
-        Ok(Self { address, stopping, killing, accepting })
+        let accept_task = Some(tokio::spawn(acceptor.run(handler)));
+        Ok(Self { address, shutdown, abort, accept_task })
     }
 
     /// Returns the address that the server listens on.
@@ -63,43 +63,44 @@
         self.address
     }
 
-    /// Stops accepting, lets calls in progress end for at most `grace`, and joins every task.
+    /// Stops accepting, waits at most `grace` for calls in progress, aborts the rest, and joins every
+    /// task.
     pub async fn stop(mut self, grace: time::Duration) {
-        self.stopping.cancel();
-        let Some(mut accepting) = self.accepting.take() else {
+        self.shutdown.cancel();
+        let Some(mut accept_task) = self.accept_task.take() else {
             return;
         };
-        if tokio::time::timeout(grace, &mut accepting).await.is_err() {
-            self.killing.cancel();
-            // A panic of the accept loop has been reported by the panic hook.
-            let _ = accepting.await;
+        if tokio::time::timeout(grace, &mut accept_task).await.is_err() {
+            self.abort.cancel();
+            // The panic hook has already reported a panic of the accept loop.
+            let _ = accept_task.await;
         }
     }
 
-    /// Waits until the server has been stopped.
+    /// Waits until the accept loop and all connections have ended.
     pub async fn join(mut self) {
-        if let Some(accepting) = self.accepting.take() {
-            // A panic of the accept loop has been reported by the panic hook.
-            let _ = accepting.await;
+        if let Some(accept_task) = self.accept_task.take() {
+            // The panic hook has already reported a panic of the accept loop.
+            let _ = accept_task.await;
         }
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.stopping.cancel();
-        self.killing.cancel();
+        self.shutdown.cancel();
+        self.abort.cancel();
     }
 }
 
 struct Acceptor {
     listener: tokio::net::TcpListener,
     builder: sync::Arc<auto::Builder<executor::Executor>>,
-    /// Runs the streams of HTTP/2 connections.
-    streams: executor::Executor,
+    /// Runs the stream tasks of HTTP/2 connections.
+    stream_executor: executor::Executor,
     limit: usize,
-    stopping: cancel::CancellationToken,
-    killing: cancel::CancellationToken,
+    shutdown: cancel::CancellationToken,
+    abort: cancel::CancellationToken,
 }
 
 impl Acceptor {
@@ -111,24 +112,24 @@
         let mut connections = task::JoinSet::new();
         loop {
             tokio::select! {
-                () = self.stopping.cancelled() => break,
+                () = self.shutdown.cancelled() => break,
                 Some(_) = connections.join_next() => {}
                 accepted = self.listener.accept() => match accepted {
                     Ok((stream, source)) if connections.len() < self.limit => {
                         self.spawn(&mut connections, stream, source, handler.clone());
                     }
                     Ok(_) => {}
-                    // Out of file descriptors, for one: let some connections end first.
+                    // The cause can be a lack of file descriptors: wait until some connections end.
                     Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
                 }
             }
         }
         drop(self.listener);
         tokio::select! {
-            () = self.killing.cancelled() => connections.shutdown().await,
+            () = self.abort.cancelled() => connections.shutdown().await,
             () = async { while connections.join_next().await.is_some() {} } => {}
         }
-        self.streams.join().await;
+        self.stream_executor.join().await;
     }
 
     fn spawn<F, A>(
@@ -141,19 +142,19 @@
         F: Fn(Call) -> A + Clone + Send + Sync + 'static,
         A: Future<Output = Result<hyper::Response<http::Body>, http::Aborted>> + Send + 'static,
     {
-        // Only delays small writes if it fails.
+        // A failure only delays small writes.
         let _ = stream.set_nodelay(true);
         let builder = sync::Arc::clone(&self.builder);
-        let stopping = self.stopping.clone();
+        let shutdown = self.shutdown.clone();
         connections.spawn(async move {
             let service = service::service_fn(move |request| handler(Call { source, request }));
             let connection =
                 builder.serve_connection_with_upgrades(rt::TokioIo::new(stream), service);
             let mut connection = std::pin::pin!(connection);
-            // How a connection ends is the other end's business.
+            // An error of the connection is ignored: it concerns only this client.
             tokio::select! {
                 _ = connection.as_mut() => return,
-                () = stopping.cancelled() => connection.as_mut().graceful_shutdown(),
+                () = shutdown.cancelled() => connection.as_mut().graceful_shutdown(),
             }
             let _ = connection.await;
         });
@@ -164,9 +165,9 @@
 
 fn connection_builder(
     limits: &http::ServerLimits,
-    streams: &executor::Executor,
+    stream_executor: &executor::Executor,
 ) -> auto::Builder<executor::Executor> {
-    let mut builder = auto::Builder::new(streams.clone());
+    let mut builder = auto::Builder::new(stream_executor.clone());
     builder
         .http1()
         .timer(rt::TokioTimer::new())
--- a/crates/wire/src/http/server_limits.rs
+++ b/crates/wire/src/http/server_limits.rs
@@ -1,17 +1,18 @@
-//! Limits of a server.
+//! Limits of an HTTP server.
 
 use std::time;
 
-/// Limits what the connections of a [`crate::http::Server`] may take.
+/// Limits of the connections of a [`crate::http::Server`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Connections at once; one more is closed as soon as it is accepted.
+    /// The maximum number of open connections; further ones are closed as soon as they are accepted.
     pub connections: usize,
-    /// Streams at once in one HTTP/2 connection.
+    /// The maximum number of concurrent streams in one HTTP/2 connection.
     pub streams: u32,
-    /// The headers of a request, in bytes together; at least 8192.
+    /// The maximum size of all headers of a request, in bytes; at least 8192.
     pub header: usize,
-    /// How long the headers of a request may take to arrive, an unused connection included.
+    /// The longest time until the headers of an HTTP/1 request have arrived; this also closes idle
+    /// connections.
     pub header_wait: time::Duration,
 }
 
--- a/crates/wire/src/operators/client.rs
+++ b/crates/wire/src/operators/client.rs
@@ -1,4 +1,4 @@
-//! A client of the operators' calls.
+//! A client for the operator API.
 
 use std::{net, sync::atomic, time};
 
@@ -7,38 +7,39 @@
 
 use crate::{http, operators::message};
 
-/// Says what to wait for.
+/// The conditions of a long poll; it is answered when one of them holds or `wait_ms` is over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watch {
-    /// Answer once the root version is higher than this.
+    /// The root version must be higher than this.
     pub after: u64,
-    /// Answer once the version that every live daemon has is higher than this; `None` ignores it.
+    /// The version that every live daemon has must be higher than this; `None` ignores it.
     pub in_force: Option<u64>,
-    /// Answer once the version up to which stops have ended is higher; `None` ignores it.
+    /// The version up to which all planned stops have ended must be higher than this; `None` ignores
+    /// it.
     pub settled: Option<u64>,
-    /// How long to wait, in milliseconds.
+    /// The longest time to wait, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Calls daemons as an operator; tries the next daemon when one cannot be reached.
+/// Calls daemons as an operator; tries the next daemon when one cannot be reached or is unavailable.
 ///
-/// A change whose answer was lost is never sent to another daemon: its error is `Unsure`.
+/// A change whose answer was lost is never sent to another daemon; the call fails with `Unsure`.
 #[derive(Debug)]
 pub struct Client {
     http: http::Client,
     daemons: Vec<net::SocketAddr>,
     token: String,
     deadline: time::Duration,
-    /// The daemon that answered last.
-    current: atomic::AtomicUsize,
+    /// The index of the daemon that answered last.
+    last_answered: atomic::AtomicUsize,
 }
 
 impl Client {
-    /// Creates a client of `daemons`, which are tried in this order.
+    /// Creates a client of `daemons`, which are tried in the given order.
     ///
     /// # Errors
     ///
-    /// Fails with `Invalid` if there is no daemon.
+    /// Fails with `Invalid` if `daemons` is empty.
     pub fn new(
         daemons: Vec<net::SocketAddr>,
         token: &str,
@@ -51,10 +52,10 @@
         let limits = http::ClientLimits { body: 64 << 20, ..http::ClientLimits::default() };
         let http = http::Client::new(limits);
         let token = token.to_owned();
-        Ok(Self { http, daemons, token, deadline, current: atomic::AtomicUsize::new(0) })
+        Ok(Self { http, daemons, token, deadline, last_answered: atomic::AtomicUsize::new(0) })
     }
 
-    /// Returns one page of a kind's resources, after a name.
+    /// Returns one page of the resources of a kind, starting after the name `after`.
     ///
     /// # Errors
     ///
@@ -88,7 +89,7 @@
         self.read(&format!("/v1/resources/{key}"), self.deadline).await
     }
 
-    /// Returns the state of the whole.
+    /// Returns the state of the configuration.
     ///
     /// # Errors
     ///
@@ -97,7 +98,7 @@
         self.read("/v1/status", self.deadline).await
     }
 
-    /// Returns the state of the whole as the daemon at `address` knows it.
+    /// Returns the state of the configuration as the daemon at `address` knows it.
     ///
     /// # Errors
     ///
@@ -126,7 +127,7 @@
         self.read(&path, deadline).await
     }
 
-    /// Returns events of the daemon at `address` after a sequence number.
+    /// Returns one page of the events of the daemon at `address` after a sequence number.
     ///
     /// # Errors
     ///
@@ -139,7 +140,7 @@
         self.read_from(address, &format!("/v1/events?after={after}")).await
     }
 
-    /// Returns all events that the daemon at `address` keeps after a sequence number.
+    /// Returns all events after a sequence number that the daemon at `address` still keeps.
     ///
     /// # Errors
     ///
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Makes a change of several resources at once; `body` is as `POST /v1/apply` takes it.
+    /// Changes several resources at once; `body` is the body of `POST /v1/apply`.
     ///
     /// # Errors
     ///
@@ -169,7 +170,7 @@
         &self,
         body: &impl serde::Serialize,
     ) -> Result<message::Accepted, error::Error> {
-        self.change(&Method::POST, "/v1/apply", body).await
+        self.send_change(&Method::POST, "/v1/apply", body).await
     }
 
     async fn read_from<T: serde::de::DeserializeOwned>(
@@ -179,7 +180,7 @@
     ) -> Result<T, error::Error> {
         let empty = bytes::Bytes::new();
         let reply = self.send(address, &Method::GET, path, &empty, self.deadline).await;
-        parse(&reply.map_err(|error| error.reading().about(&address))?)
+        parse(&reply.map_err(|error| error.as_read_error().about(&address))?)
     }
 
     async fn read<T: serde::de::DeserializeOwned>(
@@ -187,21 +188,21 @@
         path: &str,
         deadline: time::Duration,
     ) -> Result<T, error::Error> {
-        let mut last = None;
-        for address in self.in_turn() {
+        let mut last_error = None;
+        for address in self.by_preference() {
             let empty = bytes::Bytes::new();
             match self.send(address, &Method::GET, path, &empty, deadline).await {
                 Ok(reply) if reply.status() == StatusCode::SERVICE_UNAVAILABLE => {
-                    last = Some(parse::<T>(&reply).err().unwrap_or_else(no_answer));
+                    last_error = Some(parse::<T>(&reply).err().unwrap_or_else(no_answer));
                 }
                 Ok(reply) => return parse(&reply),
-                Err(error) => last = Some(error.reading().about(&address)),
+                Err(error) => last_error = Some(error.as_read_error().about(&address)),
             }
         }
-        Err(last.unwrap_or_else(no_answer))
+        Err(last_error.unwrap_or_else(no_answer))
     }
 
-    async fn change<T: serde::de::DeserializeOwned>(
+    async fn send_change<T: serde::de::DeserializeOwned>(
         &self,
         method: &Method,
         path: &str,
@@ -210,31 +211,30 @@
         let text = serde_json::to_vec(body)
             .map_err(|error| error::Error::new(error::ErrorKind::Invalid, error.to_string()))?;
         let text = bytes::Bytes::from(text);
-        let mut last = None;
-        for address in self.in_turn() {
+        let mut last_error = None;
+        for address in self.by_preference() {
             match self.send(address, method, path, &text, self.deadline).await {
                 Ok(reply) if reply.status() == StatusCode::SERVICE_UNAVAILABLE => {
-                    last = Some(parse::<T>(&reply).err().unwrap_or_else(no_answer));
+                    last_error = Some(parse::<T>(&reply).err().unwrap_or_else(no_answer));
                 }
                 Ok(reply) => return parse(&reply),
                 Err(error @ http::CallError::NotSent(_)) => {
-                    last = Some(error.writing().about(&address));
+                    last_error = Some(error.as_write_error().about(&address));
                 }
                 Err(error) => {
-                    return Err(error
-                        .writing()
-                        .about(&address)
-                        .remedy("get the resources and compare before sending the change again"));
+                    return Err(error.as_write_error().about(&address).remedy(
+                        "get the resources and compare before sending the change again",
+                    ));
                 }
             }
         }
-        Err(last.unwrap_or_else(no_answer))
+        Err(last_error.unwrap_or_else(no_answer))
     }
 
-    /// Returns the daemons, beginning with the one that answered last.
-    fn in_turn(&self) -> Vec<net::SocketAddr> {
+    /// Returns the daemons, starting with the one that answered last.
+    fn by_preference(&self) -> Vec<net::SocketAddr> {
         let mut daemons = self.daemons.clone();
-        daemons.rotate_left(self.current.load(atomic::Ordering::Relaxed));
+        daemons.rotate_left(self.last_answered.load(atomic::Ordering::Relaxed));
         daemons
     }
 
@@ -255,7 +255,7 @@
             .map_err(|error| http::CallError::NotSent(error.to_string()))?;
         let reply = self.http.call(request, deadline).await?;
         if let Some(index) = self.daemons.iter().position(|daemon| *daemon == address) {
-            self.current.store(index, atomic::Ordering::Relaxed);
+            self.last_answered.store(index, atomic::Ordering::Relaxed);
         }
         Ok(reply)
     }
@@ -265,7 +265,7 @@
     reply: &hyper::Response<bytes::Bytes>,
 ) -> Result<T, error::Error> {
     if reply.status().is_success() {
-        return http::parse(reply).map_err(|error| error.reading());
+        return http::parse(reply).map_err(|error| error.as_read_error());
     }
     Err(http::parse(reply).unwrap_or_else(|_| {
         let message = format!("answered {} without a reason", reply.status());
--- a/crates/wire/src/operators/message/mod.rs
+++ b/crates/wire/src/operators/message/mod.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' calls.
+//! Bodies of the operator API.
 
 mod accepted;
 mod event_page;
--- a/crates/wire/src/operators/message/overview.rs
+++ b/crates/wire/src/operators/message/overview.rs
@@ -1,8 +1,8 @@
-//! The state of the whole as one daemon knows it.
+//! The state of the configuration as one daemon knows it.
 
 use trefoildyke_types::id;
 
-/// Describes the configuration's state as one daemon knows it.
+/// The state of the configuration as one daemon knows it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Overview {
@@ -16,6 +16,6 @@
     pub in_force: u64,
     /// The root version up to which all planned stops have ended on every live daemon.
     pub settled: u64,
-    /// How many live daemons the answering daemon knows, itself included.
+    /// The number of live daemons that the answering daemon knows, including itself.
     pub live: u32,
 }
--- a/crates/wire/src/operators/message/resource_page.rs
+++ b/crates/wire/src/operators/message/resource_page.rs
@@ -1,8 +1,8 @@
-//! Resources of one kind.
+//! A page of resources of one kind.
 
 use trefoildyke_types::resource;
 
-/// Holds resources of one kind, sorted by name.
+/// A page of resources of one kind, sorted by name.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourcePage {
@@ -10,6 +10,6 @@
     pub version: u64,
     /// The resources, with their status.
     pub resources: Vec<resource::Resource>,
-    /// Whether more follow; ask for those after the last name.
+    /// Whether more resources follow; to get them, list after the last name of this page.
     pub more: bool,
 }
--- a/crates/wire/src/operators/mod.rs
+++ b/crates/wire/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' calls: bodies and a client that tries several daemons.
+//! The operator API: messages and a client that tries several daemons.
 
 mod client;
 pub mod message;
--- a/crates/wire/src/platform/health.rs
+++ b/crates/wire/src/platform/health.rs
@@ -1,22 +1,22 @@
-//! When a service last answered.
+//! The health of a service, derived from the results of calls.
 
 use std::{sync, time};
 
-/// Says when a service last answered, and since when it has not.
+/// When a service last answered, and since when it has not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// When the last answer came, a refusal by a rate limit included.
+    /// When the last answer arrived; a refusal by a rate limit counts as an answer.
     pub answered: Option<time::Instant>,
-    /// When the first call started that has failed after the last answer; `None` if none has.
+    /// The start of the earliest failed call since the last answer; `None` if no call has failed.
     pub failing: Option<time::Instant>,
 }
 
-/// Records how calls end. Clones share the record.
+/// Records the results of calls. Clones share the record.
 #[derive(Clone, Debug, Default)]
 pub struct HealthTracker(sync::Arc<sync::Mutex<Health>>);
 
 impl HealthTracker {
-    /// Returns the record.
+    /// Returns the current health.
     pub fn health(&self) -> Health {
         *self.lock()
     }
@@ -26,7 +26,9 @@
         *self.lock() = Health { answered: Some(time::Instant::now()), failing: None };
     }
 
-    /// Records that a call which started at `started` was not answered.
+    /// Records that a call which started at `started` failed.
+    ///
+    /// The call is ignored if another one was answered after `started`.
     pub fn failed(&self, started: time::Instant) {
         let mut health = self.lock();
         if health.answered.is_some_and(|answered| answered > started) {
--- a/crates/wire/src/platform/hosts_client.rs
+++ b/crates/wire/src/platform/hosts_client.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's host list.
+//! The client for the platform's host list.
 
 use std::{net, time};
 
@@ -17,7 +17,7 @@
 }
 
 impl HostsClient {
-    /// Creates a client without connections, whose calls take at most `deadline`.
+    /// Creates a client without connections; each call takes at most `deadline`.
     pub fn new(address: net::SocketAddr, deadline: time::Duration) -> Self {
         Self {
             http: http::Client::default(),
@@ -27,14 +27,15 @@
         }
     }
 
-    /// Returns when the list last answered, and since when it has not.
+    /// Returns when the service last answered, and since when it has not.
     pub fn health(&self) -> platform::Health {
         self.health.health()
     }
 
     /// Reads the list.
     ///
-    /// Fails with kind `Unavailable` if no answer came.
+    /// Fails with kind `Unavailable` if no answer arrives or its status is not 200, and with `Protocol` if
+    /// the answer cannot be parsed.
     pub async fn list(&self) -> Result<message::HostList, error::Error> {
         let started = time::Instant::now();
         let result = self.read().await;
@@ -45,7 +46,7 @@
         result
     }
 
-    /// Closes unused connections and waits until all connections have ended.
+    /// Closes idle connections and waits until all connections have ended.
     pub async fn close(self) {
         self.http.close().await;
     }
@@ -56,11 +57,11 @@
                 error::Error::new(error::ErrorKind::Invalid, error.to_string()).at("hosts.address")
             })?;
         let reply = self.http.call(request, self.deadline).await;
-        let reply = reply.map_err(|error| error.reading())?;
+        let reply = reply.map_err(|error| error.as_read_error())?;
         if reply.status() != StatusCode::OK {
             let message = format!("answered {}", reply.status());
             return Err(error::Error::new(error::ErrorKind::Unavailable, message));
         }
-        http::parse(&reply).map_err(|error| error.reading())
+        http::parse(&reply).map_err(|error| error.as_read_error())
     }
 }
--- a/crates/wire/src/platform/kv_client.rs
+++ b/crates/wire/src/platform/kv_client.rs
@@ -1,4 +1,4 @@
-//! The client of the key-value service.
+//! The client for the key-value service.
 
 use std::time;
 
@@ -7,13 +7,13 @@
 
 use crate::{http, platform, platform::message};
 
-/// How many entries one list call asks for.
-const PAGE: usize = 500;
+/// The maximum number of entries that [`KvClient::list_all`] requests per page.
+const PAGE_SIZE: usize = 500;
 
 /// Calls the key-value service. Clones share connections and health.
 ///
-/// Every call has a deadline. A write that fails says whether it can have taken effect:
-/// [`platform::WriteError::Unavailable`] only if it cannot.
+/// Every call has a deadline. The error of a failed write says whether the write can have taken
+/// effect: [`platform::WriteError::Unavailable`] means that it cannot.
 #[derive(Clone, Debug)]
 pub struct KvClient {
     http: http::Client,
@@ -35,7 +35,7 @@
         Self { http: http::Client::new(limits), settings, health }
     }
 
-    /// Returns a client whose calls take at most `deadline`, over the same connections.
+    /// Returns a client that shares the connections and whose calls take at most `deadline`.
     #[must_use]
     pub fn at_most(mut self, deadline: time::Duration) -> Self {
         self.settings.deadline = self.settings.deadline.min(deadline);
@@ -49,7 +49,8 @@
 
     /// Reads one key.
     ///
-    /// Fails with kind `Unavailable` if no answer came.
+    /// Fails with kind `Unavailable` if the service does not answer or refuses the call for now, and with
+    /// `Protocol` if the answer cannot be used.
     pub async fn get(&self, key: &str) -> Result<message::GetReply, error::Error> {
         self.read("/v1/get", &message::Get { key: key.to_owned() }).await
     }
@@ -63,11 +64,11 @@
 
     /// Reads all keys below a prefix, page by page, and the revision of the first page.
     ///
-    /// Watching from that revision shows all changes that later pages may have missed. Fails as
-    /// [`Self::get`] does.
+    /// A watch from that revision reports every change that the later pages may have missed. Fails
+    /// as [`Self::get`] does.
     pub async fn list_all(&self, prefix: &str) -> Result<(Vec<message::Entry>, u64), error::Error> {
         let mut list =
-            message::List { prefix: prefix.to_owned(), after: String::new(), limit: PAGE };
+            message::List { prefix: prefix.to_owned(), after: String::new(), limit: PAGE_SIZE };
         let first = self.list(&list).await?;
         let (mut entries, mut more) = (first.entries, first.more);
         while more {
@@ -94,9 +95,9 @@
         parse_written(&self.write("/v1/delete", delete).await?)
     }
 
-    /// Asks for a lease that lasts `ttl` without renewal.
+    /// Requests a lease that lasts `ttl` unless it is renewed.
     ///
-    /// After an unsure result a lease may exist that nobody knows; it ends by itself.
+    /// After an `Unsure` error a lease may exist whose number is unknown; it expires after `ttl`.
     pub async fn grant(
         &self,
         ttl: time::Duration,
@@ -106,34 +107,34 @@
         parse_written::<message::LeaseRef>(&reply).map(|granted| granted.lease)
     }
 
-    /// Renews a lease for its time to live, counted from when the service takes the call.
+    /// Renews a lease for its time to live, which starts when the service handles the call.
     pub async fn renew(&self, lease: message::LeaseNumber) -> Result<(), platform::WriteError> {
         self.write("/v1/lease/renew", &message::LeaseRef { lease }).await.map(|_| ())
     }
 
-    /// Ends a lease and its keys.
+    /// Revokes a lease, which deletes its keys.
     pub async fn revoke(&self, lease: message::LeaseNumber) -> Result<(), platform::WriteError> {
         self.write("/v1/lease/revoke", &message::LeaseRef { lease }).await.map(|_| ())
     }
 
     /// Waits for changes below a prefix.
     ///
-    /// The call may take the watch's wait on top of the deadline. Watch again from the answer's
-    /// revision.
+    /// The call may take `wait_ms` longer than the deadline. The next watch starts after the
+    /// answer's revision.
     pub async fn watch(
         &self,
         watch: &message::Watch,
     ) -> Result<message::WatchReply, platform::WatchError> {
         let deadline = self.settings.deadline + time::Duration::from_millis(watch.wait_ms);
         let reply = self.call("/v1/watch", watch, deadline).await;
-        let reply = reply.map_err(|error| platform::WatchError::Failed(error.reading()))?;
+        let reply = reply.map_err(|error| platform::WatchError::Failed(error.as_read_error()))?;
         if reply.status() == StatusCode::GONE {
             return Err(platform::WatchError::TooOld);
         }
         parse_read(&reply).map_err(platform::WatchError::Failed)
     }
 
-    /// Closes unused connections and waits until all connections have ended.
+    /// Closes idle connections and waits until all connections have ended.
     pub async fn close(self) {
         self.http.close().await;
     }
@@ -144,7 +145,7 @@
         body: &impl serde::Serialize,
     ) -> Result<T, error::Error> {
         let reply = self.call(path, body, self.settings.deadline).await;
-        parse_read(&reply.map_err(|error| error.reading())?)
+        parse_read(&reply.map_err(|error| error.as_read_error())?)
     }
 
     async fn write(
@@ -189,7 +190,7 @@
         }
         StatusCode::NOT_FOUND => Err(platform::WriteError::LeaseGone),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            Err(platform::WriteError::Unavailable(refusal(&reply)))
+            Err(platform::WriteError::Unavailable(refusal_detail(&reply)))
         }
         status if status.is_client_error() => {
             let error = http::parse(&reply).unwrap_or_else(|_| {
@@ -207,9 +208,9 @@
 
 fn parse_read<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, error::Error> {
     match reply.status() {
-        StatusCode::OK => http::parse(reply).map_err(|error| error.reading()),
+        StatusCode::OK => http::parse(reply).map_err(|error| error.as_read_error()),
         StatusCode::TOO_MANY_REQUESTS => {
-            Err(error::Error::new(error::ErrorKind::Unavailable, refusal(reply)))
+            Err(error::Error::new(error::ErrorKind::Unavailable, refusal_detail(reply)))
         }
         status if status.is_client_error() => {
             Err(error::Error::new(error::ErrorKind::Protocol, format!("answered {status}")))
@@ -220,7 +221,7 @@
     }
 }
 
-fn refusal(reply: &Reply) -> String {
+fn refusal_detail(reply: &Reply) -> String {
     let after = reply.headers().get(header::RETRY_AFTER).and_then(|value| value.to_str().ok());
     match after {
         Some(seconds) => format!("answered {}, retry after {seconds} s", reply.status()),
--- a/crates/wire/src/platform/kv_settings.rs
+++ b/crates/wire/src/platform/kv_settings.rs
@@ -5,13 +5,13 @@
 /// Settings of a [`crate::platform::KvClient`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KvSettings {
-    /// Where the service listens.
+    /// The address of the service.
     pub address: net::SocketAddr,
-    /// How long a call may take.
+    /// The longest time for a call.
     pub deadline: time::Duration,
-    /// How long opening a connection may take; shorter than `deadline`.
+    /// The longest time for opening a connection; shorter than `deadline`.
     pub connect: time::Duration,
-    /// The address that connections are opened from; `None` leaves it to the operating system.
+    /// The local address of connections; with `None` the operating system chooses one.
     pub local: Option<net::IpAddr>,
 }
 
--- a/crates/wire/src/platform/message/delete.rs
+++ b/crates/wire/src/platform/message/delete.rs
@@ -1,11 +1,11 @@
-//! Deleting one key.
+//! The request to delete one key.
 
-/// Deletes one key.
+/// A request to delete one key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delete {
     /// The key.
     pub key: String,
-    /// What must hold: `None` for nothing, 0 that the key does not exist, else its revision.
+    /// The revision that the key must have; 0 if it must not exist, `None` for no condition.
     pub expect: Option<u64>,
 }
--- a/crates/wire/src/platform/message/entry.rs
+++ b/crates/wire/src/platform/message/entry.rs
@@ -1,8 +1,8 @@
-//! One key with its value.
+//! One entry of the key-value service.
 
 use crate::platform::message;
 
-/// Holds one key of the key-value service with its value.
+/// One key of the key-value service with its value.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
@@ -10,8 +10,8 @@
     pub key: String,
     /// The value; at most [`message::MAX_VALUE`] bytes.
     pub value: String,
-    /// The revision that wrote the value; at least 1.
+    /// The revision at which the value was written; at least 1.
     pub revision: u64,
-    /// The lease with which the key ends.
+    /// The lease of the key: the key is deleted when the lease ends.
     pub lease: Option<message::LeaseNumber>,
 }
--- a/crates/wire/src/platform/message/get.rs
+++ b/crates/wire/src/platform/message/get.rs
@@ -1,8 +1,8 @@
-//! Reading one key.
+//! The request to read one key and its answer.
 
 use crate::platform::message;
 
-/// Asks for one key.
+/// A request to read one key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Get {
@@ -10,7 +10,7 @@
     pub key: String,
 }
 
-/// Answers [`Get`].
+/// The answer to [`Get`].
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GetReply {
--- a/crates/wire/src/platform/message/host.rs
+++ b/crates/wire/src/platform/message/host.rs
@@ -4,27 +4,27 @@
 
 use trefoildyke_types::id;
 
-/// Says whether a host stays.
+/// The state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// The host is there to be used.
+    /// The host is available.
     Live,
-    /// The host is being taken back.
+    /// The platform is withdrawing the host.
     Leaving,
 }
 
-/// Says what a host is for.
+/// The role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostRole {
-    /// It runs a daemon.
+    /// The host runs a daemon.
     Entry,
-    /// It carries endpoints.
+    /// The host runs endpoints.
     Endpoint,
 }
 
-/// Describes one host of the platform's list.
+/// One host of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
@@ -32,22 +32,22 @@
     pub host: id::HostName,
     /// The availability zone.
     pub zone: id::ZoneName,
-    /// Whether the host stays.
+    /// The host's state.
     pub state: HostState,
-    /// What the host is for.
+    /// The host's role.
     pub role: HostRole,
-    /// Where the host's daemon listens for other daemons; `None` for hosts of endpoints.
+    /// The address at which the host's daemon accepts other daemons; `None` for hosts of endpoints.
     #[serde(default)]
     pub peer: Option<net::SocketAddr>,
 }
 
-/// Holds the platform's list of hosts, which lags behind the truth.
+/// The platform's list of hosts, which can be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostList {
     /// The hosts.
     pub hosts: Vec<Host>,
-    /// When the list was true, in milliseconds since the Unix epoch.
+    /// The time that the list describes, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub as_of_ms: u64,
 }
--- a/crates/wire/src/platform/message/lease.rs
+++ b/crates/wire/src/platform/message/lease.rs
@@ -1,13 +1,13 @@
-//! Leases, with which keys end.
+//! Leases of the key-value service; the keys of a lease are deleted when it ends.
 
-/// Names a lease of the key-value service.
+/// The number of a lease of the key-value service.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(transparent)]
 pub struct LeaseNumber(pub u64);
 
-/// Asks for a lease.
+/// A request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
@@ -15,10 +15,10 @@
     pub ttl_ms: u64,
 }
 
-/// Refers to a lease: the answer to [`Grant`], and the body of renewing and revoking.
+/// A reference to a lease: the answer to [`Grant`], and the body of renew and revoke calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseRef {
-    /// The lease.
+    /// The lease's number.
     pub lease: LeaseNumber,
 }
--- a/crates/wire/src/platform/message/list.rs
+++ b/crates/wire/src/platform/message/list.rs
@@ -1,27 +1,27 @@
-//! Reading the keys below a prefix.
+//! The request to list the keys with a prefix and its answer.
 
 use crate::platform::message;
 
-/// Asks for keys below a prefix.
+/// A request to list keys with a prefix.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct List {
-    /// What the keys start with.
+    /// The prefix of the keys.
     pub prefix: String,
-    /// Only keys strictly after this one; empty for all.
+    /// Only keys strictly after this one are listed; empty for all.
     #[serde(default)]
     pub after: String,
-    /// The most entries to answer; at least 1.
+    /// The maximum number of entries in the answer; at least 1.
     pub limit: usize,
 }
 
-/// Answers [`List`].
+/// The answer to [`List`].
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListReply {
     /// The entries, sorted by key.
     pub entries: Vec<message::Entry>,
-    /// Whether there are more after the last entry.
+    /// Whether more keys follow the last entry.
     pub more: bool,
     /// The service's revision when it answered.
     pub revision: u64,
--- a/crates/wire/src/platform/message/mod.rs
+++ b/crates/wire/src/platform/message/mod.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the platform, as docs/PROTOCOLS.md lays them down.
+//! Messages to and from the platform, as specified in docs/PROTOCOLS.md.
 
 mod conflict;
 mod delete;
@@ -22,5 +22,5 @@
 pub use watch::{Watch, WatchEvent, WatchReply};
 pub use written::Written;
 
-/// The most bytes that a value may have.
+/// The maximum size of a value, in bytes.
 pub const MAX_VALUE: usize = 1 << 20;
--- a/crates/wire/src/platform/message/put.rs
+++ b/crates/wire/src/platform/message/put.rs
@@ -1,8 +1,8 @@
-//! Writing one key.
+//! The request to write one key.
 
 use crate::platform::message;
 
-/// Writes one key.
+/// A request to write one key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Put {
@@ -10,9 +10,9 @@
     pub key: String,
     /// The new value; at most [`message::MAX_VALUE`] bytes.
     pub value: String,
-    /// What must hold: `None` for nothing, 0 that the key does not exist, else its revision.
+    /// The revision that the key must have; 0 if it must not exist, `None` for no condition.
     pub expect: Option<u64>,
-    /// The lease with which the key ends.
+    /// The lease of the key: the key is deleted when the lease ends.
     #[serde(default)]
     pub lease: Option<message::LeaseNumber>,
 }
--- a/crates/wire/src/platform/message/watch.rs
+++ b/crates/wire/src/platform/message/watch.rs
@@ -1,18 +1,18 @@
-//! Watching the keys below a prefix.
+//! The request to watch the keys with a prefix and its answer.
 
-/// Asks for the changes below a prefix after a revision.
+/// A request for the changes of keys with a prefix after a revision.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Watch {
-    /// What the keys start with.
+    /// The prefix of the keys.
     pub prefix: String,
     /// The last revision that the watcher has seen.
     pub after: u64,
-    /// How long to wait for a change, in milliseconds.
+    /// The longest time to wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Describes one change.
+/// One change of a key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WatchEvent {
@@ -24,12 +24,12 @@
     pub revision: u64,
 }
 
-/// Answers [`Watch`].
+/// The answer to [`Watch`].
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WatchReply {
-    /// The changes in order; empty if none came in time.
+    /// The changes, in order; empty if there were none within `wait_ms`.
     pub events: Vec<WatchEvent>,
-    /// The revision up to which the watcher has now seen all changes.
+    /// The revision up to which the watcher now has all changes.
     pub revision: u64,
 }
--- a/crates/wire/src/platform/message/written.rs
+++ b/crates/wire/src/platform/message/written.rs
@@ -1,6 +1,6 @@
 //! The answer to a write that took effect.
 
-/// Answers a write that took effect.
+/// The answer to a write that took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Written {
--- a/crates/wire/src/platform/mod.rs
+++ b/crates/wire/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform: the key-value service and the host list.
+//! Clients for the platform's key-value service and host list.
 
 mod health;
 mod hosts_client;
--- a/crates/wire/src/platform/watch_error.rs
+++ b/crates/wire/src/platform/watch_error.rs
@@ -1,11 +1,11 @@
-//! How a watch can fail.
+//! Errors of watches.
 
 use trefoildyke_types::error;
 
-/// Says how a watch failed.
+/// The reason why a watch failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
-    /// The service has forgotten changes that the watcher has not seen.
+    /// The service no longer keeps all changes after the requested revision.
     #[error("the revision is too old to watch from; list the keys and watch from there")]
     TooOld,
     /// The call failed.
--- a/crates/wire/src/platform/write_error.rs
+++ b/crates/wire/src/platform/write_error.rs
@@ -1,31 +1,31 @@
-//! How a write can fail.
+//! Errors of writes.
 
 use trefoildyke_types::error;
 
 use crate::platform::message;
 
-/// Says how a write failed, and so whether it may have taken effect.
+/// The reason why a write failed, which tells whether it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WriteError {
-    /// What the write expected did not hold; nothing was written.
+    /// The write's condition did not hold; nothing was written.
     #[error("another writer was first; apply the change to the current entry and try again")]
     Conflict(Option<Box<message::Entry>>),
     /// The lease has ended; nothing was written.
     #[error("the lease has ended; ask for a new one")]
     LeaseGone,
-    /// No answer came; the write may have taken effect, or may still do so.
+    /// No usable answer arrived; the write may have taken effect or may take effect later.
     #[error("the write may or may not have taken effect: {0}; read the key back")]
     Unsure(String),
-    /// The service refused the write or cannot be reached; nothing was written.
+    /// The service cannot be reached or refused the write for now; nothing was written.
     #[error("the service takes no writes: {0}; try again later")]
     Unavailable(String),
-    /// The service cannot accept the write as it is; nothing was written.
+    /// The service rejected the write as invalid; nothing was written.
     #[error("{0}")]
     Invalid(error::Error),
 }
 
 impl WriteError {
-    /// Returns the error as the type that all of trefoildyke shares.
+    /// Returns the error as the error type that all crates share.
     pub fn error(&self) -> error::Error {
         match self {
             Self::Conflict(current) => {
--- a/crates/wire/tests/testsuite/http.rs
+++ b/crates/wire/tests/testsuite/http.rs
@@ -76,7 +76,7 @@
     server.stop(LONG).await;
     let error = http::Client::default().call(request, LONG).await.unwrap_err();
     assert!(matches!(error, http::CallError::NotSent(_)), "{error}");
-    assert_eq!(error.writing().kind, error::ErrorKind::Unavailable);
+    assert_eq!(error.as_write_error().kind, error::ErrorKind::Unavailable);
 }
 
 #[tokio::test]
@@ -102,7 +102,7 @@
     client.call(get(&server, "/"), LONG).await.unwrap();
     let error = client.call(get(&server, "/silent"), SHORT).await.unwrap_err();
     assert!(matches!(error, http::CallError::Lost(_)), "{error}");
-    assert_eq!(error.writing().kind, error::ErrorKind::Unsure);
+    assert_eq!(error.as_write_error().kind, error::ErrorKind::Unsure);
     client.call(get(&server, "/"), LONG).await.unwrap();
     let sources = sources.lock().unwrap().clone();
     assert_eq!(sources[0], sources[1], "the connection is reused");
