--- a/crates/wire/src/peer/clock.rs
+++ b/crates/wire/src/peer/clock.rs
@@ -1,21 +1,23 @@
-//! The logical clock that peers keep in step.
+//! The logical clock that all daemons share through their messages.
 
 use std::sync::{Arc, atomic};
 
-/// A Lamport clock; every message between daemons carries it. Clones share it.
+/// A Lamport clock, whose time every message between daemons carries. Clones share the clock.
 ///
-/// What happens after a message was received has a higher time than what happened before it was
-/// sent, whatever the hosts' own clocks say.
+/// An event after the receipt of a message has a higher time than every event before the message was
+/// sent, independent of the hosts' clocks.
 #[derive(Clone, Debug, Default)]
 pub struct Clock(Arc<atomic::AtomicU64>);
 
 impl Clock {
-    /// Returns the time of the last event or message.
+    /// Returns the highest time of any event or received message.
     pub fn now(&self) -> u64 {
         self.0.load(atomic::Ordering::Acquire)
     }
 
-    /// Returns the time of a new event: later than all before, and not below `least`.
+    /// Advances the clock for a new event and returns its time.
+    ///
+    /// The time is higher than all earlier ones and at least `least`.
     pub fn tick(&self, least: u64) -> u64 {
         let next = |time: u64| time.saturating_add(1).max(least);
         self.0
@@ -23,7 +25,7 @@
             .map_or(least, next)
     }
 
-    /// Takes in the time that came with a message.
+    /// Merges the time of a received message into the clock.
     pub fn merge(&self, time: u64) {
         self.0.fetch_max(time, atomic::Ordering::AcqRel);
     }
--- a/crates/wire/src/peer/connect.rs
+++ b/crates/wire/src/peer/connect.rs
@@ -9,53 +9,57 @@
 use tokio::{io::AsyncWriteExt, net as tokio_net, time};
 use trefoildyke_types::id;
 
-use crate::peer::{Error, Identity, Limits, PROTOCOL, PeerClient, Role, Transcript, headers, pump};
+use crate::peer::{
+    Error, Identity, Limits, PROTOCOL, PeerClient, Role, Transcript, frame_io, headers,
+};
 
 type Socket = rt::TokioIo<hyper::upgrade::Upgraded>;
 
-/// Holds an open connection to a peer.
+/// An open connection to a peer.
 pub struct Connection {
-    /// Makes the calls.
+    /// The client for calls over this connection.
     pub client: PeerClient,
-    /// The incarnation at the other end.
+    /// The peer's incarnation.
     pub incarnation: id::Incarnation,
-    /// Moves the messages; the caller runs it and the connection ends with it.
+    /// A future that transfers the messages. The caller must run it; the connection ends with it.
     ///
-    /// Dropping it closes the connection, and calls in flight then fail.
+    /// Dropping the future closes the connection and fails the calls in flight.
     pub driver: BoxFuture<'static, Result<(), Error>>,
 }
 
-/// Opens a connection to the daemon at `address`; `None` takes any incarnation there.
+/// Opens a connection to the daemon at `address`.
+///
+/// Fails if the peer has another incarnation than `expected`; `None` accepts any incarnation.
 ///
 /// # Errors
 ///
-/// An [`Error`] that says whether the address, the key or the incarnation is wrong.
+/// An [`Error`] that says, for example, whether the address, the key or the incarnation is wrong.
 pub async fn connect(
     address: net::SocketAddr,
-    wanted: Option<id::Incarnation>,
+    expected: Option<id::Incarnation>,
     identity: &Identity,
     limits: Limits,
 ) -> Result<Connection, Error> {
-    let handshake = shake(address, wanted, identity);
+    let handshake = perform_handshake(address, expected, identity);
     let (socket, incarnation) = time::timeout(limits.handshake(), handshake)
         .await
         .map_err(|_| Error::HandshakeTimeout)??;
-    let (near, far) = channel::bounded(pump::QUEUE);
-    let new = PeerClient::new(tarpc::client::Config::default(), near);
-    let dispatch = new.dispatch;
+    let (client_end, frame_end) = channel::bounded(frame_io::QUEUE_CAPACITY);
+    let new_client = PeerClient::new(tarpc::client::Config::default(), client_end);
+    let dispatch = new_client.dispatch;
     let clock = identity.clock.clone();
     let driver = async move {
         tokio::select! {
-            end = pump::run(socket, far, limits, &clock) => end,
+            result = frame_io::run(socket, frame_end, limits, &clock) => result,
             _ = dispatch => Ok(()),
         }
     };
-    Ok(Connection { client: new.client, incarnation, driver: driver.boxed() })
+    Ok(Connection { client: new_client.client, incarnation, driver: driver.boxed() })
 }
 
-async fn shake(
+async fn perform_handshake(
     address: net::SocketAddr,
-    wanted: Option<id::Incarnation>,
+    expected: Option<id::Incarnation>,
     identity: &Identity,
 ) -> Result<(Socket, id::Incarnation), Error> {
     let hello = headers::Hello { incarnation: identity.incarnation, nonce: rand::random() };
@@ -71,7 +75,7 @@
     if !transcript.verify(&identity.keys, Role::Server, &proof) {
         return Err(Error::WrongKey);
     }
-    check_incarnation(wanted, answer.incarnation)?;
+    check_incarnation(expected, answer.incarnation)?;
     let upgraded = hyper::upgrade::on(response).await?;
     let mut socket = rt::TokioIo::new(upgraded);
     socket.write_all(&transcript.prove(&identity.keys, Role::Client)).await?;
@@ -95,18 +99,22 @@
         .headers_mut()
         .insert(http::header::HOST, host.map_err(|e| Error::Handshake(e.to_string()))?);
     headers::write_hello(request.headers_mut(), hello)?;
-    let (response, end) = futures::join!(sender.send_request(request), connection.with_upgrades());
+    let (response, result) =
+        futures::join!(sender.send_request(request), connection.with_upgrades());
     let response = response?;
-    end?;
+    result?;
     match response.status() {
         http::StatusCode::SWITCHING_PROTOCOLS => Ok(response),
         status => Err(Error::Handshake(format!("status {status} in place of {PROTOCOL}"))),
     }
 }
 
-fn check_incarnation(wanted: Option<id::Incarnation>, found: id::Incarnation) -> Result<(), Error> {
-    match wanted {
-        Some(wanted) if wanted != found => Err(Error::WrongIncarnation { wanted, found }),
+fn check_incarnation(
+    expected: Option<id::Incarnation>,
+    found: id::Incarnation,
+) -> Result<(), Error> {
+    match expected {
+        Some(expected) if expected != found => Err(Error::WrongIncarnation { expected, found }),
         _ => Ok(()),
     }
 }
--- a/crates/wire/src/peer/error.rs
+++ b/crates/wire/src/peer/error.rs
@@ -4,10 +4,10 @@
 
 use trefoildyke_types::{error, id};
 
-/// Says why a peer connection could not be made or has ended.
+/// The reason why a peer connection could not be opened or has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address does not take connections.
+    /// The TCP connection to the address failed.
     #[error(
         "cannot connect to peer {address}: {source}; check that its daemon runs and listens there"
     )]
@@ -25,20 +25,20 @@
     /// The HTTP part of the handshake failed.
     #[error("the peer handshake failed: {0}; check that the address is a daemon's peer address")]
     Handshake(String),
-    /// The other side does not hold the shared key.
+    /// The other side did not prove that it holds a shared key.
     #[error(
         "the peer does not prove the shared key; give both daemons a common key in `peer.keys`"
     )]
     WrongKey,
-    /// The address belongs to another life of a daemon.
-    #[error("the peer is incarnation {found}, not {wanted}; use the current member view")]
+    /// The address belongs to another incarnation of a daemon.
+    #[error("the peer is incarnation {found}, not {expected}; use the current member view")]
     WrongIncarnation {
-        /// The incarnation that was asked for.
-        wanted: id::Incarnation,
+        /// The requested incarnation.
+        expected: id::Incarnation,
         /// The incarnation that answered.
         found: id::Incarnation,
     },
-    /// No heartbeat came in time.
+    /// Nothing was received for too long, or a frame could not be sent in time.
     #[error("the peer connection went silent; open a new one")]
     Silent,
     /// The other side closed the connection.
@@ -47,12 +47,12 @@
     /// The connection failed.
     #[error("the peer connection failed: {0}; open a new one")]
     Io(#[from] io::Error),
-    /// A frame could not be read or written.
+    /// A frame was too large or could not be encoded or decoded.
     #[error(
         "the peer sent or was sent a frame of the wrong form: {0}; check that both daemons run compatible versions"
     )]
     Frame(String),
-    /// No usable key is set.
+    /// No key is configured, or a key is too short.
     #[error("no shared key is set; list at least one key of 16 bytes or more in `peer.keys`")]
     NoKey,
 }
--- a/crates/wire/src/peer/pump.rs
+++ b/crates/wire/src/peer/frame_io.rs
@@ -1,4 +1,4 @@
-//! Moves messages between tarpc and the socket, with heartbeats both ways.
+//! Transfers messages between tarpc and the socket, with heartbeats in both directions.
 
 use std::{io, sync};
 
@@ -10,21 +10,23 @@
 
 use crate::peer::{Clock, Error, Limits, activity, activity::Message};
 
-/// The most messages that wait between tarpc and the socket, each way.
-pub(crate) const QUEUE: usize = 64;
+/// The maximum number of messages queued between tarpc and the socket, in each direction.
+pub(crate) const QUEUE_CAPACITY: usize = 64;
 
 type Frames<S> = codec::Framed<S, codec::LengthDelimitedCodec>;
 
-struct Pump<'a> {
+struct FrameIo<'a> {
     clock: &'a Clock,
     limits: Limits,
     activity: sync::Mutex<activity::Activity>,
 }
 
-/// Moves messages until either side closes, the peer goes silent or a frame is bad.
+/// Transfers messages until a side closes the connection, the peer is silent for too long, or a frame
+/// is invalid.
 ///
-/// `Out` is what tarpc sends and `In` is what it takes. A frame begins with the sender's
-/// logical clock, 8 bytes, the highest first; an empty frame is a heartbeat.
+/// `Out` is the type of the messages that tarpc sends, and `In` the type of those that it receives. A
+/// frame starts with the time of the sender's logical clock, 8 bytes in big-endian order, followed by
+/// the message. An empty frame is a heartbeat.
 pub(crate) async fn run<S, Out, In>(
     socket: S,
     channel: channel::Channel<Out, In>,
@@ -37,23 +39,23 @@
     In: serde::de::DeserializeOwned + Message,
 {
     let activity = activity::Activity::new(limits, std::time::Instant::now());
-    let pump = Pump { clock, limits, activity: sync::Mutex::new(activity) };
-    let (sink, stream) = frames(socket, &limits).split();
+    let frame_io = FrameIo { clock, limits, activity: sync::Mutex::new(activity) };
+    let (sink, stream) = framed(socket, &limits).split();
     let (to_tarpc, from_tarpc) = channel.split();
     tokio::select! {
-        end = pump.write(sink, from_tarpc) => end,
-        end = pump.read(stream, to_tarpc) => end,
+        result = frame_io.write(sink, from_tarpc) => result,
+        result = frame_io.read(stream, to_tarpc) => result,
     }
 }
 
-fn frames<S>(socket: S, limits: &Limits) -> Frames<S>
+fn framed<S>(socket: S, limits: &Limits) -> Frames<S>
 where
     S: tokio_io::AsyncRead + tokio_io::AsyncWrite,
 {
     codec::LengthDelimitedCodec::builder().max_frame_length(limits.frame_bytes).new_framed(socket)
 }
 
-impl Pump<'_> {
+impl FrameIo<'_> {
     async fn write<S, Out, In>(
         &self,
         mut sink: stream::SplitSink<Frames<S>, Bytes>,
@@ -65,14 +67,14 @@
     {
         loop {
             let frame = match time::timeout(self.limits.heartbeat(), messages.next()).await {
-                Err(_) if self.lock().is_due(std::time::Instant::now()) => Bytes::new(),
+                Err(_) if self.lock().is_heartbeat_due(std::time::Instant::now()) => Bytes::new(),
                 Err(_) => continue,
                 Ok(None) => return Ok(()),
                 Ok(Some(message)) => self.encode(&message.map_err(|_| Error::Closed)?)?,
             };
             let send = time::timeout(self.limits.silence(), sink.send(frame));
             send.await.map_err(|_| Error::Silent)??;
-            self.lock().sent(std::time::Instant::now());
+            self.lock().record_sent(std::time::Instant::now());
         }
     }
 
@@ -92,27 +94,27 @@
                 }
                 continue;
             };
-            let frame = next.ok_or(Error::Closed)?.map_err(too_large)?;
-            self.lock().heard(std::time::Instant::now());
+            let frame = next.ok_or(Error::Closed)?.map_err(frame_error)?;
+            self.lock().record_received(std::time::Instant::now());
             if frame.is_empty() {
                 continue;
             }
-            let message: In = rmp_serde::from_slice(self.take_clock(&frame)?)
+            let message: In = rmp_serde::from_slice(self.merge_clock(&frame)?)
                 .map_err(|e| Error::Frame(e.to_string()))?;
-            message.note(&mut self.lock());
+            message.record_call(&mut self.lock());
             messages.send(message).await.map_err(|_| Error::Closed)?;
         }
     }
 
     fn encode<Out: serde::Serialize + Message>(&self, message: &Out) -> Result<Bytes, Error> {
-        message.note(&mut self.lock());
+        message.record_call(&mut self.lock());
         let mut frame = self.clock.now().to_be_bytes().to_vec();
         rmp_serde::encode::write(&mut frame, message).map_err(|e| Error::Frame(e.to_string()))?;
         Ok(frame.into())
     }
 
-    /// Takes in the sender's logical clock and returns the rest of the frame.
-    fn take_clock<'f>(&self, frame: &'f [u8]) -> Result<&'f [u8], Error> {
+    /// Merges the sender's logical clock and returns the rest of the frame.
+    fn merge_clock<'f>(&self, frame: &'f [u8]) -> Result<&'f [u8], Error> {
         let (clock, message) = frame
             .split_first_chunk()
             .ok_or_else(|| Error::Frame("it is shorter than its clock".to_owned()))?;
@@ -125,7 +127,7 @@
     }
 }
 
-fn too_large(error: io::Error) -> Error {
+fn frame_error(error: io::Error) -> Error {
     match error.kind() {
         io::ErrorKind::InvalidData => Error::Frame(error.to_string()),
         _ => Error::Io(error),
--- a/crates/wire/src/peer/handshake.rs
+++ b/crates/wire/src/peer/handshake.rs
@@ -1,4 +1,4 @@
-//! The proofs that both sides of a peer connection hold the shared key.
+//! The proofs by which both sides of a peer connection show that they hold the shared key.
 
 use trefoildyke_types::id;
 
@@ -7,25 +7,25 @@
 /// The protocol's name in the `Upgrade` header.
 pub const PROTOCOL: &str = "trefoildyke-peer";
 
-/// The number of bytes in a nonce.
+/// The size of a nonce, in bytes.
 pub(crate) const NONCE_BYTES: usize = 16;
 
-/// A proof of the shared key.
+/// A proof that a side holds the shared key: an HMAC of the transcript.
 pub type Proof = [u8; 32];
 
-/// Says which side of the connection makes a proof.
+/// The side of the connection that makes a proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The side that connected.
+    /// The side that opened the connection.
     Client,
-    /// The side that accepted.
+    /// The side that accepted the connection.
     Server,
 }
 
-/// Holds what both sides said in a handshake; every proof covers all of it.
+/// The values that both sides exchange in a handshake; every proof covers all of them.
 ///
-/// Each side chooses its own nonce afresh, so an old proof proves nothing, and the role is part of
-/// what is signed, so a proof sent back to its maker proves nothing.
+/// Each side chooses a new nonce for each handshake, so that a proof cannot be replayed. The role is
+/// part of the signed message, so that a proof cannot be reflected to the side that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transcript {
     /// The client's incarnation.
@@ -39,12 +39,12 @@
 }
 
 impl Transcript {
-    /// Returns the proof that the side `role` makes with the first of `keys`.
+    /// Returns the proof of the side `role`, made with the first of `keys`.
     pub fn prove(&self, keys: &peer::Keys, role: Role) -> Proof {
         keys.sign(&self.message(role))
     }
 
-    /// Returns whether `proof` was made for this handshake by the side `role` with one of `keys`.
+    /// Returns whether `proof` is the proof of the side `role` for this handshake with one of `keys`.
     pub fn verify(&self, keys: &peer::Keys, role: Role, proof: &[u8]) -> bool {
         keys.verify(&self.message(role), proof)
     }
--- a/crates/wire/src/peer/keys.rs
+++ b/crates/wire/src/peer/keys.rs
@@ -1,4 +1,4 @@
-//! The shared keys by which daemons recognise one another.
+//! The shared keys by which daemons authenticate one another.
 
 use std::fmt;
 
@@ -6,11 +6,12 @@
 
 use crate::peer;
 
-const SHORTEST: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 
-/// Holds the shared keys: the first signs, all verify.
+/// The shared keys: the first one signs, and all of them verify.
 ///
-/// To replace a key, give every daemon `[old, new]`, then every daemon `[new, old]`, then `[new]`.
+/// To replace a key, configure `[old, new]` on every daemon, then `[new, old]` on every daemon, then
+/// `[new]`.
 #[derive(Clone)]
 pub struct Keys {
     /// Not empty; each key has at least 16 bytes.
@@ -24,7 +25,7 @@
     ///
     /// [`peer::Error::NoKey`] if the list is empty or a key is shorter than 16 bytes.
     pub fn new<K: AsRef<[u8]>>(keys: &[K]) -> Result<Self, peer::Error> {
-        let short = keys.iter().any(|key| key.as_ref().len() < SHORTEST);
+        let short = keys.iter().any(|key| key.as_ref().len() < MIN_KEY_BYTES);
         if keys.is_empty() || short {
             return Err(peer::Error::NoKey);
         }
@@ -36,7 +37,9 @@
         mac(&self.keys[0], message).finalize().into_bytes().into()
     }
 
-    /// Returns whether any key signed `message`, in time that does not depend on the proof.
+    /// Returns whether `proof` is the signature of `message` by any of the keys.
+    ///
+    /// The time that this takes does not depend on the proof.
     pub(crate) fn verify(&self, message: &[u8], proof: &[u8]) -> bool {
         self.keys.iter().fold(false, |found, key| {
             let matches = mac(key, message).verify_slice(proof).is_ok();
@@ -52,7 +55,7 @@
 }
 
 fn mac(key: &[u8], message: &[u8]) -> hmac::Hmac<sha2::Sha256> {
-    // HMAC takes keys of any length, so this never fails.
+    // HMAC accepts keys of any length, so this never fails.
     let mut mac = hmac::Hmac::<sha2::Sha256>::new_from_slice(key).expect("any length is a key");
     mac.update(message);
     mac
--- a/crates/wire/src/peer/limits.rs
+++ b/crates/wire/src/peer/limits.rs
@@ -2,29 +2,29 @@
 
 use std::time;
 
-/// Holds the limits and intervals of a peer connection; both sides should use the same.
+/// The limits and intervals of a peer connection; both sides should use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest frame, in bytes.
+    /// The maximum size of a frame, in bytes.
     pub frame_bytes: usize,
-    /// The most connections that a server holds at once.
+    /// The maximum number of connections that a server keeps open.
     pub connections: usize,
-    /// The most calls that a server runs at once for one connection.
+    /// The maximum number of concurrent calls that a server runs for one connection.
     pub calls: usize,
     /// The longest time for connecting, upgrading and proving the key, in milliseconds.
     pub handshake_ms: u64,
-    /// While a call is in flight, a side that has sent nothing for this long sends a heartbeat, in
+    /// How long a side may send nothing before it sends a heartbeat while a call is in flight, in
     /// milliseconds.
     pub heartbeat_ms: u64,
-    /// While a call is in flight, a side that has heard nothing for this long gives the connection
-    /// up, in milliseconds.
+    /// How long a side may receive nothing before it closes the connection while a call is in flight,
+    /// in milliseconds.
     ///
-    /// At least three times `heartbeat_ms`, so that one late heartbeat is no fault.
+    /// At least three times `heartbeat_ms`, so that one late heartbeat does not close the connection.
     pub silence_ms: u64,
-    /// The same as `heartbeat_ms` while no call is in flight.
+    /// The counterpart of `heartbeat_ms` while no call is in flight, in milliseconds.
     pub idle_heartbeat_ms: u64,
-    /// The same as `silence_ms` while no call is in flight.
+    /// The counterpart of `silence_ms` while no call is in flight, in milliseconds.
     pub idle_silence_ms: u64,
 }
 
@@ -54,7 +54,7 @@
         time::Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// Returns the time after which a silent connection with a call in flight is given up.
+    /// Returns the time after which a silent connection with a call in flight is closed.
     pub const fn silence(&self) -> time::Duration {
         time::Duration::from_millis(self.silence_ms)
     }
@@ -64,7 +64,7 @@
         time::Duration::from_millis(self.idle_heartbeat_ms)
     }
 
-    /// Returns the time after which a silent connection without a call in flight is given up.
+    /// Returns the time after which a silent connection without a call in flight is closed.
     pub const fn idle_silence(&self) -> time::Duration {
         time::Duration::from_millis(self.idle_silence_ms)
     }
--- a/crates/wire/src/peer/message/ask_request.rs
+++ b/crates/wire/src/peer/message/ask_request.rs
@@ -1,8 +1,8 @@
-//! Asking for a permit.
+//! The request for a permit.
 
 use trefoildyke_types::{id, request};
 
-/// Asks the scheduler of one pool shard for a permit.
+/// A request to the scheduler of one pool shard for a permit.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AskRequest {
--- a/crates/wire/src/peer/message/commit_outcome.rs
+++ b/crates/wire/src/peer/message/commit_outcome.rs
@@ -1,19 +1,19 @@
-//! How a write of a record ended.
+//! The result of writing a record.
 
 use trefoildyke_types::request;
 
-/// Says how a write of a record ended.
+/// The result of writing a record.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitOutcome {
     /// The record was created.
     Created,
-    /// Another record stood there and still does.
+    /// A record with the same key already exists and was kept.
     Exists(request::Record),
-    /// The record may or may not stand, now or later.
+    /// The record may have been written or may be written later.
     Unsure,
-    /// The record was not written and never will be.
+    /// The record was not and will not be written.
     Unavailable,
-    /// The identifier's time is outside the span for which records are kept.
+    /// The time in the request ID is outside the span for which records are kept.
     Expired,
 }
--- a/crates/wire/src/peer/message/commit_request.rs
+++ b/crates/wire/src/peer/message/commit_request.rs
@@ -1,11 +1,11 @@
-//! Writing records through the owner of their buckets.
+//! The request to write records through the owner of their buckets.
 
 use trefoildyke_types::{id, request};
 
-/// Asks the owner of some buckets to write records, each created only if absent.
+/// A request to the owner of buckets to write records; each is created only if its key is absent.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CommitRequest {
-    /// The records; no key stands twice.
+    /// The records; the keys are unique.
     pub records: Vec<(id::RequestKey, request::Record)>,
 }
--- a/crates/wire/src/peer/message/mod.rs
+++ b/crates/wire/src/peer/message/mod.rs
@@ -1,4 +1,4 @@
-//! What the calls between daemons carry.
+//! Arguments and results of the calls between daemons.
 
 mod ask_request;
 mod changes;
--- a/crates/wire/src/peer/message/read_request.rs
+++ b/crates/wire/src/peer/message/read_request.rs
@@ -1,15 +1,15 @@
-//! Reading an answer from its coordinator.
+//! The request to read an answer from its coordinator.
 
 use trefoildyke_types::id;
 
-/// Asks for the chunks of an answer.
+/// A request for the chunks of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReadRequest {
-    /// The request.
+    /// The key of the answered request.
     pub key: id::RequestKey,
-    /// The first output offset that is wanted.
+    /// The first output offset to return.
     pub offset: u64,
-    /// How long to wait for a chunk if none is there, in milliseconds.
+    /// The longest time to wait if no chunk is available, in milliseconds.
     pub wait_ms: u64,
 }
--- a/crates/wire/src/peer/methods.rs
+++ b/crates/wire/src/peer/methods.rs
@@ -1,4 +1,4 @@
-//! What a daemon does when a peer calls it.
+//! The handlers for calls from peers.
 
 use std::{future, sync};
 
@@ -7,48 +7,49 @@
 
 use crate::peer;
 
-/// Says who calls.
+/// The caller of a method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The caller's incarnation, as its proof states it.
+    /// The caller's incarnation, which its proof covers.
     pub incarnation: id::Incarnation,
 }
 
-/// Answers one kind of call.
+/// The handler for one kind of call.
 pub type Method<Request, Answer> =
     sync::Arc<dyn Fn(Caller, Request) -> BoxFuture<'static, Answer> + Send + Sync>;
 
-/// Holds one closure for each call of [`peer::Peer`].
+/// The handlers for all calls of [`peer::Peer`] but `ping`.
 ///
-/// The default answers every call as unavailable; a service replaces the calls that it serves.
+/// The default handlers answer every call as unavailable; each service replaces the handlers of its
+/// calls.
 #[derive(Clone)]
 pub struct Methods {
-    /// Serves [`peer::Peer::exchange`].
+    /// Handles [`peer::Peer::exchange`].
     pub exchange: Method<peer::Payload, Result<peer::Payload, error::Error>>,
-    /// Serves [`peer::Peer::probe`].
+    /// Handles [`peer::Peer::probe`].
     pub probe: Method<id::Incarnation, Result<bool, error::Error>>,
-    /// Serves [`peer::Peer::ask`].
+    /// Handles [`peer::Peer::ask`].
     pub ask: Method<peer::AskRequest, Result<request::Permit, request::Refusal>>,
-    /// Serves [`peer::Peer::report`].
+    /// Handles [`peer::Peer::report`].
     pub report: Method<peer::ReportRequest, Result<(), error::Error>>,
-    /// Serves [`peer::Peer::read`].
+    /// Handles [`peer::Peer::read`].
     pub read: Method<peer::ReadRequest, Result<peer::ReadAnswer, error::Error>>,
-    /// Serves [`peer::Peer::commit`].
+    /// Handles [`peer::Peer::commit`].
     pub commit: Method<peer::CommitRequest, Result<Vec<peer::CommitOutcome>, error::Error>>,
-    /// Serves [`peer::Peer::look_up`].
+    /// Handles [`peer::Peer::look_up`].
     pub look_up: Method<id::RequestKey, Result<Option<request::Record>, error::Error>>,
-    /// Serves [`peer::Peer::changes`].
+    /// Handles [`peer::Peer::changes`].
     pub changes: Method<peer::ChangesRequest, Result<peer::Changes, error::Error>>,
 }
 
 impl Methods {
-    /// Wraps an async function as a method.
-    pub fn method<Request, Answer, F, Fut>(serve: F) -> Method<Request, Answer>
+    /// Creates a handler from an async function.
+    pub fn method<Request, Answer, F, Fut>(handler: F) -> Method<Request, Answer>
     where
         F: Fn(Caller, Request) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = Answer> + Send + 'static,
     {
-        sync::Arc::new(move |caller, request| Box::pin(serve(caller, request)))
+        sync::Arc::new(move |caller, request| Box::pin(handler(caller, request)))
     }
 }
 
@@ -81,7 +82,7 @@
     request::Refusal::new(request::RefusalKind::NotRun, "no_scheduler", remedy).retry_after(1_000)
 }
 
-/// Serves the calls of one connection.
+/// The server of the calls of one connection.
 #[derive(Clone)]
 pub(crate) struct Server {
     pub(crate) caller: Caller,
--- a/crates/wire/src/peer/mod.rs
+++ b/crates/wire/src/peer/mod.rs
@@ -1,24 +1,25 @@
 //! Calls between daemons: tarpc with MessagePack over an upgraded HTTP/1.1 connection.
 //!
-//! A connection starts with `GET /peer` and `Upgrade: trefoildyke-peer`. Both sides prove that
-//! they hold the shared key before a call is sent or served. While a call is in flight,
-//! each side sends a heartbeat when it has nothing else to send, and a side that hears nothing for
-//! [`Limits::silence`] gives the connection up; without a call the same goes on at a slower pace.
+//! A connection starts with `GET /peer` and `Upgrade: trefoildyke-peer`. Both sides prove that they
+//! hold the shared key before a call is sent or served. While a call is in flight, each side sends a
+//! heartbeat when it has sent nothing for [`Limits::heartbeat`], and closes the connection when it
+//! has received nothing for [`Limits::silence`]. Without a call in flight, the longer times
+//! [`Limits::idle_heartbeat`] and [`Limits::idle_silence`] apply.
 //!
-//! The connection is authenticated but not encrypted: the key keeps strangers out, and the network
-//! between the hosts is trusted not to alter what passes.
+//! The connection is authenticated but neither encrypted nor protected against changes: the key
+//! keeps unknown clients out, and the network between the hosts is trusted not to alter messages.
 
 mod activity;
 mod clock;
 mod connect;
 mod error;
+mod frame_io;
 mod handshake;
 mod headers;
 mod keys;
 mod limits;
 mod message;
 mod methods;
-mod pump;
 mod serve;
 mod service;
 
