--- a/crates/wire/src/endpoint/answer_stream.rs
+++ b/crates/wire/src/endpoint/answer_stream.rs
@@ -7,7 +7,7 @@
 
 use crate::{endpoint, http};
 
-/// Reads the answer to one request, chunk by chunk.
+/// The answer to one request, read chunk by chunk.
 ///
 /// Every chunk is checked: it must name the request and continue its tokens without a gap or an
 /// overlap. A connection that is silent for too long, fails, or carries a chunk that fails the
@@ -23,7 +23,7 @@
     reader: Option<http::EventReader>,
     /// When the connection first failed after the last chunk or heartbeat; `None` if it has not.
     failing_since: Option<Instant>,
-    /// How many protocol violations have come without a valid chunk between them.
+    /// The number of protocol violations since the last valid chunk.
     consecutive_faults: u32,
     resumes: u32,
     finish: Option<request::Finish>,
--- a/crates/wire/src/endpoint/engine_client.rs
+++ b/crates/wire/src/endpoint/engine_client.rs
@@ -10,7 +10,7 @@
     http,
 };
 
-/// Calls one model engine. Clones share connections.
+/// A client for one model engine. Clones share connections.
 ///
 /// Each stream opens its own connection. A failed connect then proves that nothing was sent, and a
 /// start cannot be lost on a pooled connection that stopped working while it was idle.
--- a/crates/wire/src/endpoint/message/generate.rs
+++ b/crates/wire/src/endpoint/message/generate.rs
@@ -2,7 +2,7 @@
 
 use trefoildyke_types::id;
 
-/// Asks an engine to start a stream.
+/// A request to an engine to start a stream.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Generate {
--- a/crates/wire/src/endpoint/service_client.rs
+++ b/crates/wire/src/endpoint/service_client.rs
@@ -10,7 +10,7 @@
     http,
 };
 
-/// Calls one plain service. Clones share limits; each call opens its own connection.
+/// A client for one plain service. Clones share limits; each call opens its own connection.
 #[derive(Clone, Debug)]
 pub struct ServiceClient {
     address: net::SocketAddr,
@@ -34,7 +34,8 @@
         self.address
     }
 
-    /// Calls an operation. The call is sent at most once and fails if no answer comes in `timeout`.
+    /// Calls an operation. The call is sent at most once and fails if no answer arrives within
+    /// `timeout`.
     pub async fn call(
         &self,
         key: &id::RequestKey,
--- a/crates/wire/src/http/body.rs
+++ b/crates/wire/src/http/body.rs
@@ -20,7 +20,7 @@
     Chunked(mpsc::Receiver<Result<bytes::Bytes, Aborted>>),
 }
 
-/// Sends the chunks of a [`Body`]; the body ends when all clones of the sender are dropped.
+/// The sender of the chunks of a [`Body`]; the body ends when all clones of the sender are dropped.
 #[derive(Clone, Debug)]
 pub struct BodySender(mpsc::Sender<Result<bytes::Bytes, Aborted>>);
 
--- a/crates/wire/src/http/client.rs
+++ b/crates/wire/src/http/client.rs
@@ -11,7 +11,7 @@
 
 type Pool = legacy::Client<legacy::connect::HttpConnector, Full<bytes::Bytes>>;
 
-/// Sends requests over pooled connections.
+/// A client that sends requests over pooled connections.
 ///
 /// When a call exceeds its deadline, its connection is dropped and the whole pool is replaced: if
 /// one connection has stopped working, the idle ones may have too. Clones share the pool.
--- a/crates/wire/src/http/event_reader.rs
+++ b/crates/wire/src/http/event_reader.rs
@@ -7,7 +7,7 @@
 
 use crate::http;
 
-/// Reads server-sent events from the body of an answer.
+/// A reader of server-sent events from the body of an answer.
 #[derive(Debug)]
 pub struct EventReader {
     body: body::Incoming,
--- a/crates/wire/src/http/event_sender.rs
+++ b/crates/wire/src/http/event_sender.rs
@@ -4,7 +4,7 @@
 
 use crate::http;
 
-/// Sends server-sent events as the body of an answer.
+/// A sender of server-sent events as the body of an answer.
 #[derive(Clone, Debug)]
 pub struct EventSender(http::BodySender);
 
--- a/crates/wire/src/http/executor.rs
+++ b/crates/wire/src/http/executor.rs
@@ -3,7 +3,7 @@
 use hyper::rt;
 use tokio_util::task;
 
-/// Spawns futures on tokio and tracks them, so that the owner can wait for them.
+/// An executor that spawns futures on tokio and tracks them, so that its owner can wait for them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Executor(task::TaskTracker);
 
--- a/crates/wire/src/operators/client.rs
+++ b/crates/wire/src/operators/client.rs
@@ -21,7 +21,7 @@
     pub wait_ms: u64,
 }
 
-/// Calls daemons as an operator; tries the next daemon when one cannot be reached or is unavailable.
+/// A client for the operator API that tries the next daemon when one is unreachable or unavailable.
 ///
 /// A change whose answer was lost is never sent to another daemon; the call fails with `Unsure`.
 #[derive(Debug)]
@@ -222,9 +222,10 @@
                     last_error = Some(error.as_write_error().about(&address));
                 }
                 Err(error) => {
-                    return Err(error.as_write_error().about(&address).remedy(
-                        "get the resources and compare before sending the change again",
-                    ));
+                    return Err(error
+                        .as_write_error()
+                        .about(&address)
+                        .remedy("get the resources and compare before sending the change again"));
                 }
             }
         }
--- a/crates/wire/src/platform/health.rs
+++ b/crates/wire/src/platform/health.rs
@@ -11,7 +11,7 @@
     pub failing: Option<time::Instant>,
 }
 
-/// Records the results of calls. Clones share the record.
+/// A record of the results of calls. Clones share the record.
 #[derive(Clone, Debug, Default)]
 pub struct HealthTracker(sync::Arc<sync::Mutex<Health>>);
 
--- a/crates/wire/src/platform/hosts_client.rs
+++ b/crates/wire/src/platform/hosts_client.rs
@@ -7,7 +7,7 @@
 
 use crate::{http, platform, platform::message};
 
-/// Reads the platform's list of hosts. Clones share connections and health.
+/// A client for the platform's list of hosts. Clones share connections and health.
 #[derive(Clone, Debug)]
 pub struct HostsClient {
     http: http::Client,
--- a/crates/wire/src/platform/kv_client.rs
+++ b/crates/wire/src/platform/kv_client.rs
@@ -10,7 +10,7 @@
 /// The maximum number of entries that [`KvClient::list_all`] requests per page.
 const PAGE_SIZE: usize = 500;
 
-/// Calls the key-value service. Clones share connections and health.
+/// A client for the key-value service. Clones share connections and health.
 ///
 /// Every call has a deadline. The error of a failed write says whether the write can have taken
 /// effect: [`platform::WriteError::Unavailable`] means that it cannot.
--- a/crates/wire/src/platform/write_error.rs
+++ b/crates/wire/src/platform/write_error.rs
@@ -25,7 +25,7 @@
 }
 
 impl WriteError {
-    /// Returns the error as the error type that all crates share.
+    /// Returns the failure as the error type that all crates share.
     pub fn error(&self) -> error::Error {
         match self {
             Self::Conflict(current) => {
--- a/crates/wire/tests/testsuite/endpoint.rs
+++ b/crates/wire/tests/testsuite/endpoint.rs
@@ -1,4 +1,4 @@
-//! The clients for endpoints against servers that break the protocol.
+//! Tests of the clients for endpoints against servers that violate the protocol.
 
 use std::{sync, sync::atomic, time::Duration};
 
@@ -9,9 +9,9 @@
     http,
 };
 
-const WAIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const ID: &str = "0192d3a4-0000-7000-8000-000000000001";
-const OTHER: &str = "0192d3a4-0000-7000-8000-000000000002";
+const OTHER_ID: &str = "0192d3a4-0000-7000-8000-000000000002";
 
 fn key() -> id::RequestKey {
     id::RequestKey { account: "agec".into(), id: ID.parse().unwrap() }
@@ -28,27 +28,28 @@
     }
 }
 
-fn chunk(id: &str, offset: u64, tokens: usize, whole: bool) -> request::Chunk {
+fn chunk(id: &str, offset: u64, tokens: usize, is_last: bool) -> request::Chunk {
     request::Chunk {
         id: id.parse().unwrap(),
         offset,
         tokens: (0..tokens).map(|_| "a ".to_owned()).collect(),
-        finish: whole.then_some(request::Finish::Whole),
+        finish: is_last.then_some(request::Finish::Whole),
     }
 }
 
-/// Serves one list of chunks a connection, the last list for all further ones, and then ends the
-/// stream properly, whether or not the answer is whole.
-async fn serve(lists: Vec<Vec<request::Chunk>>) -> http::Server {
+/// Serves one list of chunks per connection and repeats the last list for further connections.
+///
+/// Each stream ends without an error, even if the answer is incomplete.
+async fn serve_chunks(lists: Vec<Vec<request::Chunk>>) -> http::Server {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let count = sync::Arc::new(atomic::AtomicUsize::new(0));
+    let connections = sync::Arc::new(atomic::AtomicUsize::new(0));
     let lists = sync::Arc::new(lists);
     http::Server::start(listener, http::ServerLimits::default(), move |_call| {
-        let turn = count.fetch_add(1, atomic::Ordering::SeqCst).min(lists.len() - 1);
+        let index = connections.fetch_add(1, atomic::Ordering::SeqCst).min(lists.len() - 1);
         let lists = sync::Arc::clone(&lists);
         async move {
             let (sender, response) = http::EventSender::new(16);
-            for chunk in &lists[turn] {
+            for chunk in &lists[index] {
                 sender.data(chunk).await?;
             }
             Ok(response)
@@ -57,13 +58,13 @@
     .unwrap()
 }
 
-/// Reads the whole stream and returns the number of tokens, and how often it was resumed.
-async fn read(lists: Vec<Vec<request::Chunk>>) -> Result<(u64, u32), StreamError> {
-    let server = serve(lists).await;
+/// Reads the stream to its end and returns the number of tokens and of resumptions.
+async fn read_stream(lists: Vec<Vec<request::Chunk>>) -> Result<(u64, u32), StreamError> {
+    let server = serve_chunks(lists).await;
     let client = endpoint::EngineClient::new(server.address(), endpoint::Limits::default());
     let mut stream = client.start(&generate()).await.unwrap();
     let mut tokens = 0;
-    while let Some(chunk) = tokio::time::timeout(WAIT, stream.next()).await.unwrap()? {
+    while let Some(chunk) = tokio::time::timeout(TIMEOUT, stream.next()).await.unwrap()? {
         tokens += chunk.tokens.len() as u64;
     }
     assert_eq!(stream.offset(), tokens);
@@ -73,37 +74,38 @@
 #[tokio::test]
 async fn a_gap_is_never_passed_on() {
     let gap = vec![chunk(ID, 0, 1, false), chunk(ID, 2, 2, true)];
-    let whole = vec![chunk(ID, 1, 3, true)];
-    assert_eq!(read(vec![gap.clone(), whole]).await, Ok((4, 1)));
-    let error = read(vec![gap.clone(), vec![chunk(ID, 2, 2, true)]]).await;
+    let rest = vec![chunk(ID, 1, 3, true)];
+    assert_eq!(read_stream(vec![gap.clone(), rest]).await, Ok((4, 1)));
+    let error = read_stream(vec![gap.clone(), vec![chunk(ID, 2, 2, true)]]).await;
     assert_eq!(error, Err(StreamError::Protocol(Fault::Gap { expected: 1, found: 2 })));
 }
 
 #[tokio::test]
 async fn an_overlap_is_never_passed_on() {
     let overlap = vec![chunk(ID, 0, 2, false), chunk(ID, 1, 3, true)];
-    let whole = vec![chunk(ID, 2, 2, true)];
-    assert_eq!(read(vec![overlap.clone(), whole]).await, Ok((4, 1)));
-    let error = read(vec![overlap, vec![chunk(ID, 0, 4, true)]]).await;
+    let rest = vec![chunk(ID, 2, 2, true)];
+    assert_eq!(read_stream(vec![overlap.clone(), rest]).await, Ok((4, 1)));
+    let error = read_stream(vec![overlap, vec![chunk(ID, 0, 4, true)]]).await;
     assert_eq!(error, Err(StreamError::Protocol(Fault::Overlap { expected: 2, found: 0 })));
 }
 
 #[tokio::test]
 async fn a_foreign_chunk_is_never_passed_on() {
-    let foreign = vec![chunk(ID, 0, 2, false), chunk(OTHER, 2, 2, true)];
-    let whole = vec![chunk(ID, 2, 2, true)];
-    assert_eq!(read(vec![foreign.clone(), whole]).await, Ok((4, 1)));
-    let error = read(vec![foreign, vec![chunk(OTHER, 2, 2, true)]]).await;
-    assert_eq!(error, Err(StreamError::Protocol(Fault::Foreign(OTHER.parse().unwrap()))));
+    let foreign = vec![chunk(ID, 0, 2, false), chunk(OTHER_ID, 2, 2, true)];
+    let rest = vec![chunk(ID, 2, 2, true)];
+    assert_eq!(read_stream(vec![foreign.clone(), rest]).await, Ok((4, 1)));
+    let error = read_stream(vec![foreign, vec![chunk(OTHER_ID, 2, 2, true)]]).await;
+    assert_eq!(error, Err(StreamError::Protocol(Fault::Foreign(OTHER_ID.parse().unwrap()))));
 }
 
 #[tokio::test]
-async fn a_stream_that_ends_early_is_resumed_not_taken_for_whole() {
+async fn a_stream_that_ends_early_is_resumed() {
     let lists = vec![vec![chunk(ID, 0, 2, false)], vec![chunk(ID, 2, 2, true)]];
-    assert_eq!(read(lists).await, Ok((4, 1)));
+    assert_eq!(read_stream(lists).await, Ok((4, 1)));
 }
 
-async fn answering(status: StatusCode) -> http::Server {
+/// Starts a server that answers every call with `status`.
+async fn server_with_status(status: StatusCode) -> http::Server {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     http::Server::start(listener, http::ServerLimits::default(), move |_call| async move {
         Ok(http::json(status, &"no"))
@@ -111,18 +113,18 @@
     .unwrap()
 }
 
-/// Takes every call and closes the connection without an answer.
-async fn closing() -> http::Server {
+/// Starts a server that accepts every call and closes the connection without an answer.
+async fn closing_server() -> http::Server {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let limits = http::ServerLimits::default();
     http::Server::start(listener, limits, |_call| async { Err(http::Aborted) }).unwrap()
 }
 
 #[tokio::test]
-async fn a_start_says_whether_it_can_have_happened() {
-    let refusing = answering(StatusCode::BAD_REQUEST).await;
-    let failing = answering(StatusCode::INTERNAL_SERVER_ERROR).await;
-    let closing = closing().await;
+async fn a_start_error_says_whether_work_can_have_started() {
+    let refusing = server_with_status(StatusCode::BAD_REQUEST).await;
+    let failing = server_with_status(StatusCode::INTERNAL_SERVER_ERROR).await;
+    let closing = closing_server().await;
     let start = async |server: &http::Server| {
         let client = endpoint::EngineClient::new(server.address(), endpoint::Limits::default());
         client.start(&generate()).await.unwrap_err()
@@ -134,24 +136,24 @@
     let lost = start(&closing).await;
     assert!(matches!(lost, endpoint::StartError::Unknown(_)), "{lost}");
     let address = closing.address();
-    closing.stop(WAIT).await;
+    closing.stop(TIMEOUT).await;
     let client = endpoint::EngineClient::new(address, endpoint::Limits::default());
-    let unsent = client.start(&generate()).await.unwrap_err();
-    assert!(matches!(unsent, endpoint::StartError::NotSent(_)), "{unsent}");
+    let not_sent = client.start(&generate()).await.unwrap_err();
+    assert!(matches!(not_sent, endpoint::StartError::NotSent(_)), "{not_sent}");
 }
 
 #[tokio::test]
 async fn an_order_whose_answer_is_lost_has_an_unknown_outcome() {
-    let server = closing().await;
+    let server = closing_server().await;
     let client = endpoint::EngineClient::new(server.address(), endpoint::Limits::default());
     let action = resource::OrderAction::SetRole { role: "decode".to_owned() };
     let order = message::Order { order: "role".to_owned(), fence: 1, action };
-    let error = client.order(&order, WAIT, || true).await.unwrap_err();
+    let error = client.order(&order, TIMEOUT, || true).await.unwrap_err();
     assert!(matches!(error, endpoint::OrderError::Unknown(_)), "{error}");
 }
 
 #[tokio::test]
-async fn an_order_that_is_too_late_once_connected_is_not_sent() {
+async fn an_order_that_is_too_late_after_connecting_is_not_sent() {
     let calls = sync::Arc::new(atomic::AtomicUsize::new(0));
     let counted = sync::Arc::clone(&calls);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -163,23 +165,23 @@
     let client = endpoint::EngineClient::new(server.address(), endpoint::Limits::default());
     let action = resource::OrderAction::SetRole { role: "decode".to_owned() };
     let order = message::Order { order: "role".to_owned(), fence: 1, action };
-    let error = client.order(&order, WAIT, || false).await.unwrap_err();
+    let error = client.order(&order, TIMEOUT, || false).await.unwrap_err();
     assert_eq!(error, endpoint::OrderError::TooLate);
-    server.stop(WAIT).await;
+    server.stop(TIMEOUT).await;
     assert_eq!(calls.load(atomic::Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
-async fn a_reply_of_a_service_to_another_request_is_refused() {
+async fn a_service_reply_to_another_request_is_refused() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let limits = http::ServerLimits::default();
     let server = http::Server::start(listener, limits, |_call| async {
-        let id = OTHER.parse().map_err(|_| http::Aborted)?;
+        let id = OTHER_ID.parse().map_err(|_| http::Aborted)?;
         let reply = message::ServiceReply { id, output: "letter".to_owned() };
         Ok(http::json(StatusCode::OK, &reply))
     })
     .unwrap();
     let client = endpoint::ServiceClient::new(server.address(), endpoint::Limits::default());
-    let error = client.call(&key(), "issue-letter", "", WAIT).await.unwrap_err();
-    assert_eq!(error, endpoint::StartError::Protocol(Fault::Foreign(OTHER.parse().unwrap())));
+    let error = client.call(&key(), "issue-letter", "", TIMEOUT).await.unwrap_err();
+    assert_eq!(error, endpoint::StartError::Protocol(Fault::Foreign(OTHER_ID.parse().unwrap())));
 }
--- a/crates/wire/tests/testsuite/http.rs
+++ b/crates/wire/tests/testsuite/http.rs
@@ -1,4 +1,4 @@
-//! The shared HTTP helpers: deadlines, replaced connections, limits and event streams.
+//! Tests of the HTTP clients and servers: deadlines, replaced connections, limits and event streams.
 
 use std::{sync, sync::atomic, time};
 
@@ -6,8 +6,8 @@
 use trefoildyke_types::error;
 use trefoildyke_wire::http;
 
-const LONG: time::Duration = time::Duration::from_secs(20);
-const SHORT: time::Duration = time::Duration::from_millis(200);
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const SHORT_TIMEOUT: time::Duration = time::Duration::from_millis(200);
 
 async fn listener() -> tokio::net::TcpListener {
     tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap()
@@ -24,7 +24,7 @@
     let mut reader = http::EventReader::new(response.into_body(), 1024);
     let mut events = Vec::new();
     loop {
-        match reader.next(LONG).await {
+        match reader.next(TIMEOUT).await {
             Ok(Some(event)) => events.push(event),
             Ok(None) => return (events, Ok(())),
             Err(error) => return (events, Err(error)),
@@ -34,7 +34,7 @@
 
 async fn echo_server(limits: http::ServerLimits) -> http::Server {
     http::Server::start(listener().await, limits, |call: http::Call| async move {
-        let text: Result<String, _> = http::read_json(call.request.into_body(), 64, LONG).await;
+        let text: Result<String, _> = http::read_json(call.request.into_body(), 64, TIMEOUT).await;
         Ok(match text {
             Ok(text) => http::json(StatusCode::OK, &text),
             Err(error) => http::json(StatusCode::BAD_REQUEST, &error),
@@ -44,19 +44,19 @@
 }
 
 #[tokio::test]
-async fn json_goes_there_and_back_and_both_ends_join() {
+async fn json_round_trips_and_both_ends_stop() {
     let server = echo_server(http::ServerLimits::default()).await;
     let client = http::Client::default();
     let uri = format!("http://{}/", server.address());
     let request = http::json_request(hyper::Method::POST, &uri, &"hello").unwrap();
-    let reply = client.call(request, LONG).await.unwrap();
+    let reply = client.call(request, TIMEOUT).await.unwrap();
     assert_eq!(http::parse::<String>(&reply).unwrap(), "hello");
-    tokio::time::timeout(LONG, client.close()).await.unwrap();
-    tokio::time::timeout(LONG, server.stop(LONG)).await.unwrap();
+    tokio::time::timeout(TIMEOUT, client.close()).await.unwrap();
+    tokio::time::timeout(TIMEOUT, server.stop(TIMEOUT)).await.unwrap();
 }
 
 #[tokio::test]
-async fn too_long_and_malformed_bodies_are_named() {
+async fn too_long_and_malformed_bodies_fail_with_their_kinds() {
     let server = echo_server(http::ServerLimits::default()).await;
     let client = http::Client::default();
     let uri = format!("http://{}/", server.address());
@@ -64,30 +64,30 @@
         [("x".repeat(65), error::ErrorKind::TooLarge), ("{".to_owned(), error::ErrorKind::Invalid)]
     {
         let request = hyper::Request::post(&uri).body(body.into()).unwrap();
-        let reply = client.call(request, LONG).await.unwrap();
+        let reply = client.call(request, TIMEOUT).await.unwrap();
         assert_eq!(http::parse::<error::Error>(&reply).unwrap().kind, kind);
     }
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_not_sent() {
+async fn a_call_over_a_refused_connection_is_not_sent() {
     let server = echo_server(http::ServerLimits::default()).await;
     let request = get(&server, "/");
-    server.stop(LONG).await;
-    let error = http::Client::default().call(request, LONG).await.unwrap_err();
+    server.stop(TIMEOUT).await;
+    let error = http::Client::default().call(request, TIMEOUT).await.unwrap_err();
     assert!(matches!(error, http::CallError::NotSent(_)), "{error}");
     assert_eq!(error.as_write_error().kind, error::ErrorKind::Unavailable);
 }
 
 #[tokio::test]
-async fn an_answer_that_does_not_come_is_lost_and_the_connection_replaced() {
+async fn a_missing_answer_is_lost_and_its_connection_replaced() {
     let sources = sync::Arc::new(sync::Mutex::new(Vec::new()));
-    let seen = sources.clone();
+    let handler_sources = sources.clone();
     let server = http::Server::start(
         listener().await,
         http::ServerLimits::default(),
         move |call: http::Call| {
-            seen.lock().unwrap().push(call.source);
+            handler_sources.lock().unwrap().push(call.source);
             async move {
                 if call.request.uri().path() == "/silent" {
                     std::future::pending::<()>().await;
@@ -98,24 +98,24 @@
     )
     .unwrap();
     let client = http::Client::default();
-    client.call(get(&server, "/"), LONG).await.unwrap();
-    client.call(get(&server, "/"), LONG).await.unwrap();
-    let error = client.call(get(&server, "/silent"), SHORT).await.unwrap_err();
+    client.call(get(&server, "/"), TIMEOUT).await.unwrap();
+    client.call(get(&server, "/"), TIMEOUT).await.unwrap();
+    let error = client.call(get(&server, "/silent"), SHORT_TIMEOUT).await.unwrap_err();
     assert!(matches!(error, http::CallError::Lost(_)), "{error}");
     assert_eq!(error.as_write_error().kind, error::ErrorKind::Unsure);
-    client.call(get(&server, "/"), LONG).await.unwrap();
+    client.call(get(&server, "/"), TIMEOUT).await.unwrap();
     let sources = sources.lock().unwrap().clone();
     assert_eq!(sources[0], sources[1], "the connection is reused");
     assert_ne!(sources[2], sources[3], "the silent connection is replaced");
 }
 
 #[tokio::test]
-async fn an_aborted_answer_closes_the_connection_unanswered() {
+async fn an_aborted_answer_closes_the_connection_without_an_answer() {
     let server = http::Server::start(listener().await, http::ServerLimits::default(), |_| async {
         Err(http::Aborted)
     })
     .unwrap();
-    let error = http::Client::default().call(get(&server, "/"), LONG).await.unwrap_err();
+    let error = http::Client::default().call(get(&server, "/"), TIMEOUT).await.unwrap_err();
     assert!(matches!(error, http::CallError::Lost(_)), "{error}");
 }
 
@@ -130,10 +130,10 @@
     })
     .unwrap();
     let first = http::Client::default();
-    first.call(get(&server, "/"), LONG).await.unwrap();
-    let second = http::Client::default().call(get(&server, "/"), LONG).await;
+    first.call(get(&server, "/"), TIMEOUT).await.unwrap();
+    let second = http::Client::default().call(get(&server, "/"), TIMEOUT).await;
     assert!(matches!(second.unwrap_err(), http::CallError::Lost(_)));
-    first.call(get(&server, "/"), LONG).await.unwrap();
+    first.call(get(&server, "/"), TIMEOUT).await.unwrap();
 }
 
 #[tokio::test]
@@ -143,13 +143,13 @@
     let mut request = get(&server, "/");
     let value = hyper::header::HeaderValue::from_str(&"x".repeat(20_000)).unwrap();
     request.headers_mut().insert("x-long", value);
-    let reply = http::Client::default().call(request, LONG).await;
+    let reply = http::Client::default().call(request, TIMEOUT).await;
     let refused = reply.map_or(true, |reply| reply.status().is_client_error());
     assert!(refused, "a header of 20 kB was accepted");
 }
 
 #[tokio::test]
-async fn stopping_lets_calls_in_progress_end_and_joins_them() {
+async fn stopping_lets_calls_in_progress_finish_and_joins_them() {
     let entered = sync::Arc::new(tokio::sync::Notify::new());
     let release = sync::Arc::new(tokio::sync::Notify::new());
     let (inner_entered, inner_release) = (entered.clone(), release.clone());
@@ -163,24 +163,24 @@
     })
     .unwrap();
     let request = get(&server, "/");
-    let call = tokio::spawn(async move { http::Client::default().call(request, LONG).await });
+    let call = tokio::spawn(async move { http::Client::default().call(request, TIMEOUT).await });
     entered.notified().await;
-    let stop = tokio::spawn(server.stop(LONG));
+    let stop = tokio::spawn(server.stop(TIMEOUT));
     release.notify_one();
     let reply = call.await.unwrap().unwrap();
     assert_eq!(http::parse::<String>(&reply).unwrap(), "whole");
-    tokio::time::timeout(LONG, stop).await.unwrap().unwrap();
+    tokio::time::timeout(TIMEOUT, stop).await.unwrap().unwrap();
 }
 
 #[tokio::test]
-async fn events_arrive_in_order_and_a_broken_stream_is_not_whole() {
+async fn events_arrive_in_order_and_an_aborted_stream_fails() {
     let opened = sync::Arc::new(atomic::AtomicUsize::new(0));
     let count = opened.clone();
     let server = http::Server::start(
         listener().await,
         http::ServerLimits::default(),
         move |call: http::Call| {
-            let whole = call.request.uri().path() == "/whole";
+            let complete = call.request.uri().path() == "/whole";
             count.fetch_add(1, atomic::Ordering::Relaxed);
             async move {
                 let (sender, response) = http::EventSender::new(4);
@@ -188,7 +188,7 @@
                     sender.event("accepted", &1).await.unwrap();
                     sender.comment("beat").await.unwrap();
                     sender.data(&"two").await.unwrap();
-                    if !whole {
+                    if !complete {
                         sender.abort().await;
                     }
                 });
@@ -198,7 +198,7 @@
     )
     .unwrap();
     let client = http::Client::default();
-    let response = client.open(get(&server, "/whole"), LONG).await.unwrap();
+    let response = client.open(get(&server, "/whole"), TIMEOUT).await.unwrap();
     let (events, end) = read_all(response).await;
     let message = |name: &str, data: &str| http::Event::Message {
         name: name.to_owned(),
@@ -206,8 +206,9 @@
     };
     assert_eq!(events, [message("accepted", "1"), http::Event::Comment, message("", "\"two\"")]);
     assert_eq!(end, Ok(()));
-    // The connection may break before all that was sent has come, but never ends properly.
-    let end = match client.open(get(&server, "/broken"), LONG).await {
+    // The connection may fail before all sent events have arrived, but the stream never ends without an
+    // error.
+    let end = match client.open(get(&server, "/broken"), TIMEOUT).await {
         Ok(response) => read_all(response).await.1,
         Err(error) => Err(error),
     };
@@ -223,7 +224,7 @@
         Ok(response)
     })
     .unwrap();
-    let response = http::Client::default().open(get(&server, "/"), LONG).await.unwrap();
+    let response = http::Client::default().open(get(&server, "/"), TIMEOUT).await.unwrap();
     let mut reader = http::EventReader::new(response.into_body(), 1024);
-    assert!(matches!(reader.next(SHORT).await.unwrap_err(), http::CallError::Lost(_)));
+    assert!(matches!(reader.next(SHORT_TIMEOUT).await.unwrap_err(), http::CallError::Lost(_)));
 }
--- a/crates/wire/tests/testsuite/peer/handshake.rs
+++ b/crates/wire/tests/testsuite/peer/handshake.rs
@@ -1,12 +1,12 @@
-//! Who may connect: the shared key, its replacement, and the incarnation.
+//! Tests of the handshake: the shared key, its rotation, and the incarnation.
 
 use trefoildyke_types::id;
 use trefoildyke_wire::peer;
 
-use crate::peer::nodes;
+use crate::peer::harness;
 
-const OLD: &str = "the old key, 16+";
-const NEW: &str = "the new key, 16+";
+const OLD_KEY: &str = "the old key, 16+";
+const NEW_KEY: &str = "the new key, 16+";
 
 fn transcript() -> peer::Transcript {
     peer::Transcript {
@@ -17,32 +17,32 @@
     }
 }
 
-fn keys(texts: &[&str]) -> peer::Keys {
-    peer::Keys::new(texts).unwrap()
+fn keys(key_texts: &[&str]) -> peer::Keys {
+    peer::Keys::new(key_texts).unwrap()
 }
 
 #[tokio::test]
 async fn a_peer_with_another_key_is_refused() {
     let limits = peer::Limits::default();
-    let server = nodes::serve(&[OLD], limits, nodes::echo()).await;
-    let refused = nodes::connect(server.address, &[NEW], limits).await.err().unwrap();
-    assert!(matches!(refused, peer::Error::WrongKey), "{refused}");
+    let server = harness::serve(&[OLD_KEY], limits, harness::echo_methods()).await;
+    let error = harness::connect(server.address, &[NEW_KEY], limits).await.err().unwrap();
+    assert!(matches!(error, peer::Error::WrongKey), "{error}");
 }
 
 #[tokio::test]
-async fn a_key_is_replaced_without_a_refusal_at_any_step() {
+async fn a_key_rotation_refuses_no_connection_at_any_step() {
     let limits = peer::Limits::default();
     let steps = [
-        ([OLD].as_slice(), [OLD].as_slice()),
-        (&[OLD, NEW], &[OLD]),
-        (&[OLD, NEW], &[NEW, OLD]),
-        (&[NEW], &[NEW, OLD]),
-        (&[NEW], &[NEW]),
+        ([OLD_KEY].as_slice(), [OLD_KEY].as_slice()),
+        (&[OLD_KEY, NEW_KEY], &[OLD_KEY]),
+        (&[OLD_KEY, NEW_KEY], &[NEW_KEY, OLD_KEY]),
+        (&[NEW_KEY], &[NEW_KEY, OLD_KEY]),
+        (&[NEW_KEY], &[NEW_KEY]),
     ];
-    for (one, other) in steps {
-        for (server_keys, client_keys) in [(one, other), (other, one)] {
-            let server = nodes::serve(server_keys, limits, nodes::echo()).await;
-            let connected = nodes::connect(server.address, client_keys, limits).await;
+    for (first, second) in steps {
+        for (server_keys, client_keys) in [(first, second), (second, first)] {
+            let server = harness::serve(server_keys, limits, harness::echo_methods()).await;
+            let connected = harness::connect(server.address, client_keys, limits).await;
             let (client, _driver) = connected.unwrap();
             let context = peer::within(std::time::Duration::from_secs(20));
             assert!(client.exchange(context, peer::Payload::default()).await.is_ok());
@@ -53,15 +53,17 @@
 #[tokio::test]
 async fn another_incarnation_at_the_address_is_refused() {
     let limits = peer::Limits::default();
-    let server = nodes::serve(&[OLD], limits, nodes::echo()).await;
-    let wanted = Some(id::Incarnation::from_u64(nodes::SERVER + 1));
-    let identity = nodes::identity(nodes::CLIENT, &[OLD]);
-    let refused = peer::connect(server.address, wanted, &identity, limits).await.err().unwrap();
-    assert!(matches!(refused, peer::Error::WrongIncarnation { .. }), "{refused}");
+    let server = harness::serve(&[OLD_KEY], limits, harness::echo_methods()).await;
+    let expected = Some(id::Incarnation::from_u64(harness::SERVER_INCARNATION + 1));
+    let identity = harness::identity(harness::CLIENT_INCARNATION, &[OLD_KEY]);
+    let error = peer::connect(server.address, expected, &identity, limits).await.err().unwrap();
+    assert!(matches!(error, peer::Error::WrongIncarnation { .. }), "{error}");
 }
 
-/// Asks for the upgrade as a daemon would and then sends `proof` in place of a real one.
-async fn forge(address: std::net::SocketAddr, proof: &[u8]) -> Vec<u8> {
+/// Requests the upgrade like a daemon, then sends `proof` instead of a valid proof.
+///
+/// Returns the bytes that the server sends after its answer.
+async fn send_proof(address: std::net::SocketAddr, proof: &[u8]) -> Vec<u8> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     let hello = "GET /peer HTTP/1.1\r\nhost: x\r\nconnection: upgrade\r\n\
@@ -81,33 +83,36 @@
 }
 
 #[tokio::test]
-async fn a_client_that_proves_nothing_is_closed_before_any_call() {
-    let server = nodes::serve(&[OLD], peer::Limits::default(), nodes::echo()).await;
-    assert!(forge(server.address, &[0; 32]).await.is_empty());
+async fn a_client_with_an_invalid_proof_is_closed_before_any_call() {
+    let server = harness::serve(&[OLD_KEY], peer::Limits::default(), harness::echo_methods()).await;
+    assert!(send_proof(server.address, &[0; 32]).await.is_empty());
 }
 
 #[tokio::test]
-async fn a_client_that_never_proves_anything_is_closed_in_time() {
+async fn a_client_that_sends_no_proof_is_closed_at_the_handshake_timeout() {
     let limits = peer::Limits { handshake_ms: 300, ..peer::Limits::default() };
-    let server = nodes::serve(&[OLD], limits, nodes::echo()).await;
-    assert!(forge(server.address, &[]).await.is_empty());
+    let server = harness::serve(&[OLD_KEY], limits, harness::echo_methods()).await;
+    assert!(send_proof(server.address, &[]).await.is_empty());
 }
 
 #[test]
-fn a_proof_holds_only_for_its_role_its_key_and_its_transcript() {
-    let own = transcript();
-    let proof = own.prove(&keys(&[OLD]), peer::Role::Client);
-    assert!(own.verify(&keys(&[NEW, OLD]), peer::Role::Client, &proof));
-    assert!(!own.verify(&keys(&[OLD]), peer::Role::Server, &proof), "reflected");
-    assert!(!own.verify(&keys(&[NEW]), peer::Role::Client, &proof), "another key");
+fn a_proof_is_valid_only_for_its_role_key_and_transcript() {
+    let original = transcript();
+    let proof = original.prove(&keys(&[OLD_KEY]), peer::Role::Client);
+    assert!(original.verify(&keys(&[NEW_KEY, OLD_KEY]), peer::Role::Client, &proof));
+    assert!(!original.verify(&keys(&[OLD_KEY]), peer::Role::Server, &proof), "reflected");
+    assert!(!original.verify(&keys(&[NEW_KEY]), peer::Role::Client, &proof), "another key");
     let changed = [
-        peer::Transcript { client_nonce: [9; 16], ..own },
-        peer::Transcript { server_nonce: [9; 16], ..own },
-        peer::Transcript { client: id::Incarnation::from_u64(9), ..own },
-        peer::Transcript { server: id::Incarnation::from_u64(9), ..own },
+        peer::Transcript { client_nonce: [9; 16], ..original },
+        peer::Transcript { server_nonce: [9; 16], ..original },
+        peer::Transcript { client: id::Incarnation::from_u64(9), ..original },
+        peer::Transcript { server: id::Incarnation::from_u64(9), ..original },
     ];
-    for other in changed {
-        assert!(!other.verify(&keys(&[OLD]), peer::Role::Client, &proof), "replayed: {other:?}");
+    for transcript in changed {
+        assert!(
+            !transcript.verify(&keys(&[OLD_KEY]), peer::Role::Client, &proof),
+            "replayed: {transcript:?}"
+        );
     }
 }
 
--- a/crates/wire/tests/testsuite/peer/nodes.rs
+++ b/crates/wire/tests/testsuite/peer/harness.rs
@@ -1,4 +1,4 @@
-//! A peer server on loopback for the tests.
+//! Starts peer servers on loopback and connects to them.
 
 use std::net;
 
@@ -7,8 +7,8 @@
 use trefoildyke_types::id;
 use trefoildyke_wire::peer;
 
-pub(crate) const SERVER: u64 = 7;
-pub(crate) const CLIENT: u64 = 9;
+pub(crate) const SERVER_INCARNATION: u64 = 7;
+pub(crate) const CLIENT_INCARNATION: u64 = 9;
 
 /// A running server; it ends with the test's runtime.
 pub(crate) struct Server {
@@ -17,9 +17,9 @@
     pub(crate) task: task::JoinHandle<std::io::Result<()>>,
 }
 
-pub(crate) fn identity(number: u64, keys: &[&str]) -> peer::Identity {
+pub(crate) fn identity(incarnation: u64, keys: &[&str]) -> peer::Identity {
     peer::Identity {
-        incarnation: id::Incarnation::from_u64(number),
+        incarnation: id::Incarnation::from_u64(incarnation),
         keys: peer::Keys::new(keys).unwrap(),
         clock: peer::Clock::default(),
     }
@@ -29,23 +29,25 @@
     let listener = tokio_net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stop = CancellationToken::new();
-    let serve = peer::serve(listener, identity(SERVER, keys), limits, methods, stop.clone());
-    Server { address, stop, task: tokio::spawn(serve) }
+    let server =
+        peer::serve(listener, identity(SERVER_INCARNATION, keys), limits, methods, stop.clone());
+    Server { address, stop, task: tokio::spawn(server) }
 }
 
-/// Connects and runs the connection on a task of its own.
+/// Connects to the server at `address` and runs the connection on its own task.
 pub(crate) async fn connect(
     address: net::SocketAddr,
     keys: &[&str],
     limits: peer::Limits,
 ) -> Result<(peer::PeerClient, task::JoinHandle<Result<(), peer::Error>>), peer::Error> {
-    let wanted = Some(id::Incarnation::from_u64(SERVER));
-    let connection = peer::connect(address, wanted, &identity(CLIENT, keys), limits).await?;
+    let expected = Some(id::Incarnation::from_u64(SERVER_INCARNATION));
+    let connection =
+        peer::connect(address, expected, &identity(CLIENT_INCARNATION, keys), limits).await?;
     Ok((connection.client, tokio::spawn(connection.driver)))
 }
 
-/// Returns methods whose `look_up` finds nothing and whose `exchange` echoes.
-pub(crate) fn echo() -> peer::Methods {
+/// Returns methods whose `look_up` finds no record and whose `exchange` returns its argument.
+pub(crate) fn echo_methods() -> peer::Methods {
     peer::Methods {
         exchange: peer::Methods::method(|_, digest| std::future::ready(Ok(digest))),
         look_up: peer::Methods::method(|_, _| std::future::ready(Ok(None))),
--- a/crates/wire/tests/testsuite/peer/mod.rs
+++ b/crates/wire/tests/testsuite/peer/mod.rs
@@ -1,6 +1,6 @@
-//! Peer connections: the handshake, calls, limits and silence.
+//! Tests of peer connections: the handshake, calls, limits and silence.
 
 mod calls;
 mod handshake;
-mod nodes;
+mod harness;
 mod silence;
