--- a/crates/wire/src/endpoint/answer_stream.rs
+++ b/crates/wire/src/endpoint/answer_stream.rs
@@ -157,7 +157,7 @@
     fn record_fault(&mut self, fault: endpoint::Fault) -> Result<(), endpoint::StreamError> {
         self.drop_connection();
         self.consecutive_faults += 1;
-        if self.consecutive_faults >= self.client.limits().faults {
+        if self.consecutive_faults >= self.client.limits().max_faults {
             return Err(endpoint::StreamError::Protocol(fault));
         }
         Ok(())
@@ -171,11 +171,12 @@
 
     /// Returns the delay before the next attempt to resume.
     ///
-    /// The delay is 1 ms until the first failure is `Limits::pause` ago, because a new connection
-    /// often works at once, and `Limits::pause` after that.
+    /// The delay is 1 ms until the first failure is `Limits::retry_delay` ago, because a new connection
+    /// often works at once, and `Limits::retry_delay` after that.
     fn retry_delay(&self) -> time::Duration {
-        let recent =
-            self.failing_since.is_none_or(|since| since.elapsed() < self.client.limits().pause);
-        if recent { time::Duration::from_millis(1) } else { self.client.limits().pause }
+        let recent = self
+            .failing_since
+            .is_none_or(|since| since.elapsed() < self.client.limits().retry_delay);
+        if recent { time::Duration::from_millis(1) } else { self.client.limits().retry_delay }
     }
 }
--- a/crates/wire/src/endpoint/engine_client.rs
+++ b/crates/wire/src/endpoint/engine_client.rs
@@ -27,8 +27,11 @@
 impl EngineClient {
     /// Creates a client without connections.
     pub fn new(address: net::SocketAddr, limits: endpoint::Limits) -> Self {
-        let pooled =
-            http::ClientLimits { connect: limits.connect, body: limits.size, ..Default::default() };
+        let pooled = http::ClientLimits {
+            connect: limits.connect,
+            body: limits.max_bytes,
+            ..Default::default()
+        };
         let unpooled = http::ClientLimits { pooled: 0, ..pooled };
         Self {
             address,
@@ -70,7 +73,7 @@
         if status != StatusCode::OK {
             return Err(endpoint::StartError::Unknown(format!("status {status}")));
         }
-        let reader = http::EventReader::new(response.into_body(), self.limits.size);
+        let reader = http::EventReader::new(response.into_body(), self.limits.max_bytes);
         Ok(endpoint::AnswerStream::started(self.clone(), generate.key(), reader))
     }
 
@@ -132,7 +135,7 @@
         let response = response.map_err(|error| error.as_read_error().about(&self.address))?;
         match response.status() {
             StatusCode::OK => {
-                Ok(Some(http::EventReader::new(response.into_body(), self.limits.size)))
+                Ok(Some(http::EventReader::new(response.into_body(), self.limits.max_bytes)))
             }
             StatusCode::NOT_FOUND => Ok(None),
             status => Err(self.unexpected_status(status)),
--- a/crates/wire/src/endpoint/limits.rs
+++ b/crates/wire/src/endpoint/limits.rs
@@ -18,11 +18,11 @@
     /// How long attempts to resume a stream continue before reading it fails.
     pub give_up: time::Duration,
     /// The delay between two attempts to resume; the first attempts wait only 1 ms.
-    pub pause: time::Duration,
+    pub retry_delay: time::Duration,
     /// The number of consecutive protocol violations at which reading a stream fails.
-    pub faults: u32,
+    pub max_faults: u32,
     /// The largest chunk and the largest answer without a stream, in bytes.
-    pub size: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for Limits {
@@ -32,9 +32,9 @@
             answer: time::Duration::from_secs(2),
             silence: time::Duration::from_secs(2),
             give_up: time::Duration::from_secs(5),
-            pause: time::Duration::from_millis(100),
-            faults: 3,
-            size: 1 << 20,
+            retry_delay: time::Duration::from_millis(100),
+            max_faults: 3,
+            max_bytes: 1 << 20,
         }
     }
 }
--- a/crates/wire/src/endpoint/order_call.rs
+++ b/crates/wire/src/endpoint/order_call.rs
@@ -29,7 +29,7 @@
     if !may_write() {
         return Err(endpoint::OrderError::TooLate);
     }
-    let exchange = exchange(sender, request, limits.size);
+    let exchange = exchange(sender, request, limits.max_bytes);
     let joined = async { tokio::join!(exchange, connection).0 };
     let answer = tokio::time::timeout(timeout, joined).await;
     answer.unwrap_or_else(|_| Err(endpoint::OrderError::Unknown("no answer in time".to_owned())))
@@ -39,12 +39,12 @@
 async fn exchange(
     mut sender: http1::SendRequest<Full<bytes::Bytes>>,
     request: hyper::Request<bytes::Bytes>,
-    size: usize,
+    max_bytes: usize,
 ) -> Result<Response, endpoint::OrderError> {
     let unknown = |error: &dyn std::fmt::Display| endpoint::OrderError::Unknown(error.to_string());
     let response = sender.send_request(request.map(Full::new)).await;
     let (head, body) = response.map_err(|error| unknown(&error))?.into_parts();
-    let body = Limited::new(body, size).collect().await;
+    let body = Limited::new(body, max_bytes).collect().await;
     let body = body.map_err(|error| unknown(&error))?.to_bytes();
     Ok(hyper::Response::from_parts(head, body))
 }
--- a/crates/wire/src/endpoint/service_client.rs
+++ b/crates/wire/src/endpoint/service_client.rs
@@ -22,7 +22,7 @@
     pub fn new(address: net::SocketAddr, limits: endpoint::Limits) -> Self {
         let unpooled = http::ClientLimits {
             connect: limits.connect,
-            body: limits.size,
+            body: limits.max_bytes,
             pooled: 0,
             ..Default::default()
         };
--- a/crates/wire/src/http/client.rs
+++ b/crates/wire/src/http/client.rs
@@ -160,7 +160,7 @@
     connector.set_local_address(limits.local);
     legacy::Client::builder(executor.clone())
         .pool_timer(rt::TokioTimer::new())
-        .pool_idle_timeout(limits.idle)
+        .pool_idle_timeout(limits.idle_timeout)
         .pool_max_idle_per_host(limits.pooled)
         .build(connector)
 }
--- a/crates/wire/src/http/client_limits.rs
+++ b/crates/wire/src/http/client_limits.rs
@@ -8,7 +8,7 @@
     /// The longest time for opening a connection.
     pub connect: time::Duration,
     /// How long an idle connection is kept open.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
     /// The maximum number of idle connections for each address; 0 disables reuse of connections.
     pub pooled: usize,
     /// The largest body of an answer, in bytes.
@@ -21,7 +21,7 @@
     fn default() -> Self {
         Self {
             connect: time::Duration::from_secs(1),
-            idle: time::Duration::from_secs(20),
+            idle_timeout: time::Duration::from_secs(20),
             pooled: 64,
             body: 8 << 20,
             local: None,
--- a/crates/wire/src/http/server.rs
+++ b/crates/wire/src/http/server.rs
@@ -171,7 +171,7 @@
     builder
         .http1()
         .timer(rt::TokioTimer::new())
-        .header_read_timeout(limits.header_wait)
+        .header_read_timeout(limits.header_timeout)
         .max_buf_size(limits.header.max(8192));
     builder
         .http2()
--- a/crates/wire/src/http/server_limits.rs
+++ b/crates/wire/src/http/server_limits.rs
@@ -13,7 +13,7 @@
     pub header: usize,
     /// The longest time until the headers of an HTTP/1 request have arrived; this also closes idle
     /// connections.
-    pub header_wait: time::Duration,
+    pub header_timeout: time::Duration,
 }
 
 impl Default for ServerLimits {
@@ -22,7 +22,7 @@
             connections: 4096,
             streams: 256,
             header: 16 << 10,
-            header_wait: time::Duration::from_secs(60),
+            header_timeout: time::Duration::from_secs(60),
         }
     }
 }
--- a/crates/wire/src/platform/health.rs
+++ b/crates/wire/src/platform/health.rs
@@ -22,14 +22,14 @@
     }
 
     /// Records that a call was answered.
-    pub fn answered(&self) {
+    pub fn record_answer(&self) {
         *self.lock() = Health { answered: Some(time::Instant::now()), failing: None };
     }
 
     /// Records that a call which started at `started` failed.
     ///
     /// The call is ignored if another one was answered after `started`.
-    pub fn failed(&self, started: time::Instant) {
+    pub fn record_failure(&self, started: time::Instant) {
         let mut health = self.lock();
         if health.answered.is_some_and(|answered| answered > started) {
             return;
--- a/crates/wire/src/platform/hosts_client.rs
+++ b/crates/wire/src/platform/hosts_client.rs
@@ -40,8 +40,8 @@
         let started = time::Instant::now();
         let result = self.read().await;
         match &result {
-            Ok(_) => self.health.answered(),
-            Err(_) => self.health.failed(started),
+            Ok(_) => self.health.record_answer(),
+            Err(_) => self.health.record_failure(started),
         }
         result
     }
--- a/crates/wire/src/platform/kv_client.rs
+++ b/crates/wire/src/platform/kv_client.rs
@@ -174,8 +174,8 @@
             .map_err(|error| http::CallError::NotSent(error.to_string()))?;
         let result = self.http.call(request, deadline).await;
         match &result {
-            Ok(reply) if !reply.status().is_server_error() => self.health.answered(),
-            _ => self.health.failed(started),
+            Ok(reply) if !reply.status().is_server_error() => self.health.record_answer(),
+            _ => self.health.record_failure(started),
         }
         result
     }
