--- a/crates/types/src/engine/cache_event.rs
+++ b/crates/types/src/engine/cache_event.rs
@@ -1,25 +1,25 @@
-//! Changes of an engine's prefix cache.
+//! Change events of an engine's prefix cache.
 
-/// Says what happened to a block.
+/// What happened to a block of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
-    /// The block came into the cache.
+    /// The block was added to the cache.
     Stored,
-    /// The block left the cache.
+    /// The block was removed from the cache.
     Evicted,
 }
 
-/// Describes one change of an engine's prefix cache.
+/// One change of an engine's prefix cache.
 ///
-/// Events come late, in the order of `seq`, and some never come.
+/// Events arrive late and in the order of `seq`; some are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CacheEvent {
-    /// The position in the engine's own order, from 1; a gap means that events are missing.
+    /// The engine's sequence number, from 1; a gap means that events were lost.
     pub seq: u64,
-    /// What happened.
+    /// What happened to the block.
     pub kind: CacheEventKind,
-    /// The block's hash, which covers the blocks before it.
+    /// The hash of the block, which covers the blocks before it too.
     pub block: u64,
 }
--- a/crates/types/src/engine/load_report.rs
+++ b/crates/types/src/engine/load_report.rs
@@ -1,23 +1,24 @@
-//! The load of an endpoint, as it was a while ago.
+//! Load reports of endpoints.
 
-/// Describes an endpoint's load at one moment; it is stale by the time it is read.
+/// The load of an endpoint at one moment in the past.
 ///
-/// A plain service reports no tokens, blocks and steps.
+/// The load has usually changed by the time the report is read. For a plain service, the fields for tokens,
+/// blocks and steps are 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReport {
-    /// When the load was so, in milliseconds since the Unix epoch by the endpoint's clock.
+    /// The time of the report by the endpoint's clock, in milliseconds since the Unix epoch.
     pub as_of_ms: u64,
-    /// Streams in the batch.
+    /// The number of streams in the batch.
     pub running: u32,
-    /// Streams that wait for a slot.
+    /// The number of streams that wait for a slot.
     pub waiting: u32,
-    /// Prompt tokens still to process, of running and waiting streams.
+    /// The number of prompt tokens still to process, over running and waiting streams.
     pub queued_prefill: u64,
-    /// The most tokens still to generate, of running and waiting streams.
+    /// The maximum number of tokens still to generate, over running and waiting streams.
     pub queued_decode: u64,
-    /// Blocks in the prefix cache.
+    /// The number of blocks in the prefix cache.
     pub cached_blocks: u32,
-    /// The length of the last step, in microseconds; 0 before the first.
+    /// The duration of the last engine step, in microseconds; 0 before the first step.
     pub step_us: u64,
 }
--- a/crates/types/src/engine/mod.rs
+++ b/crates/types/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! What a model engine reports about itself.
+//! Reports of model engines: load and changes of the prefix cache.
 
 mod cache_event;
 mod load_report;
@@ -6,5 +6,5 @@
 pub use cache_event::{CacheEvent, CacheEventKind};
 pub use load_report::LoadReport;
 
-/// How many prompt tokens one prefix block stands for.
+/// The number of prompt tokens in one block of the prefix cache.
 pub const BLOCK_TOKENS: u32 = 16;
--- a/crates/types/src/error/context.rs
+++ b/crates/types/src/error/context.rs
@@ -1,23 +1,23 @@
-//! Errors with the context in which they arose.
+//! Errors and the context in which they occurred.
 
 use crate::error;
 
-/// Says where an error arose.
+/// The place where an error occurred.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Context {
-    /// The field's path, such as `spec.weight`.
+    /// The path of the invalid field, such as `spec.weight`.
     #[serde(default)]
     pub field: Option<String>,
     /// The resource, endpoint or peer concerned.
     #[serde(default)]
     pub subject: Option<String>,
-    /// The version that is current, for a conflict.
+    /// The current version of the resource, for a conflict.
     #[serde(default)]
     pub current: Option<u64>,
 }
 
-/// Describes what went wrong and the remedy.
+/// An error with a remedy.
 ///
 /// ```
 /// use trefoildyke_types::error::{Error, ErrorKind};
@@ -28,19 +28,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Error {
-    /// The kind.
+    /// The kind of the error.
     pub kind: error::ErrorKind,
     /// What happened.
     pub message: String,
-    /// What to do about it.
+    /// What the user or the operator can do about it.
     pub remedy: String,
-    /// Where it happened.
+    /// Where the error occurred.
     #[serde(default)]
     pub context: Context,
 }
 
 impl Error {
-    /// Creates an error with the remedy that suits its kind.
+    /// Creates an error with the default remedy of its kind.
     pub fn new(kind: error::ErrorKind, message: impl Into<String>) -> Self {
         let remedy = kind.remedy().to_owned();
         Self { kind, message: message.into(), remedy, context: Context::default() }
@@ -60,7 +60,7 @@
         self
     }
 
-    /// Returns the error with the version that is current.
+    /// Returns the error with the current version of the resource.
     #[must_use]
     pub fn current(mut self, version: u64) -> Self {
         self.context.current = Some(version);
--- a/crates/types/src/error/format.rs
+++ b/crates/types/src/error/format.rs
@@ -1,4 +1,4 @@
-//! How errors are shown to a person.
+//! The text form of errors.
 
 use std::fmt;
 
--- a/crates/types/src/error/kind.rs
+++ b/crates/types/src/error/kind.rs
@@ -1,32 +1,32 @@
 //! The kinds of errors.
 
-/// Names a kind of error; the word is stable and meant for programs.
+/// The kind of an error; its serialized name is stable and meant for programs.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 #[non_exhaustive]
 pub enum ErrorKind {
-    /// Input does not have the expected form.
+    /// The input does not have the expected form.
     Invalid,
     /// A reference names something that does not exist.
     NotFound,
-    /// Another writer was first.
+    /// The change of another writer came first.
     Conflict,
-    /// The caller may not do this.
+    /// The caller is not allowed to do this.
     Unauthorized,
-    /// The other side cannot be reached or does not answer in time.
+    /// The remote side cannot be reached or does not answer in time.
     Unavailable,
     /// A write may or may not have taken effect.
     Unsure,
-    /// A stated limit was exceeded.
+    /// A size or count limit was exceeded.
     TooLarge,
-    /// The other side broke its protocol.
+    /// The remote side violated the protocol.
     Protocol,
 }
 
 impl ErrorKind {
-    /// Returns what to do when nothing more specific is known.
+    /// Returns the default remedy, for errors without a more specific one.
     pub const fn remedy(self) -> &'static str {
         match self {
             Self::Invalid => "correct the input and send it again",
--- a/crates/types/src/error/mod.rs
+++ b/crates/types/src/error/mod.rs
@@ -1,6 +1,6 @@
-//! Typed errors in three parts: the kind, the context and the format.
+//! Typed errors: kind, context and text form.
 //!
-//! Every message ends with a remedy.
+//! The text of every error ends with a remedy.
 
 mod context;
 mod format;
--- a/crates/types/src/event/mod.rs
+++ b/crates/types/src/event/mod.rs
@@ -1,30 +1,30 @@
-//! Records of state changes for the time line.
+//! Events of the timeline.
 
 use crate::id;
 
-/// Records one state change in one process.
+/// One state change in one process.
 ///
-/// Within an incarnation `seq` rises without gaps; over processes, causal order follows from
-/// `clock`, since wall clocks of hosts disagree.
+/// Within an incarnation, `seq` rises without gaps. Across processes, `clock` gives the causal order,
+/// because the wall clocks of different hosts disagree.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// The wall clock of the host, in microseconds since the Unix epoch.
+    /// The wall-clock time of the host, in microseconds since the Unix epoch.
     pub time_us: u64,
-    /// The host.
+    /// The host of the process.
     pub host: id::HostName,
-    /// The process.
+    /// The incarnation of the process.
     pub incarnation: id::Incarnation,
-    /// The position in the process's own order, from 1.
+    /// The sequence number within the incarnation, from 1.
     pub seq: u64,
-    /// The Lamport clock: higher than that of every event this one can depend on.
+    /// The Lamport clock: higher than that of every event that this one can depend on.
     pub clock: u64,
     /// The request, if the event is about one.
     #[serde(default)]
     pub key: Option<id::RequestKey>,
-    /// What happened, as a stable word such as `accepted` or `dispatched`.
+    /// What happened, as a stable code such as `accepted` or `dispatched`.
     pub kind: String,
-    /// Details for a person to read.
+    /// Human-readable details.
     #[serde(default)]
     pub detail: String,
 }
--- a/crates/types/src/id/incarnation.rs
+++ b/crates/types/src/id/incarnation.rs
@@ -1,34 +1,35 @@
-//! One life of one daemon process.
+//! Incarnations of daemon processes.
 
 use std::{fmt, num, str};
 
-/// Names one life of one daemon process.
+/// The identifier of one run of one daemon process, from start to exit.
 ///
-/// The upper 44 bits carry the start time in milliseconds since the Unix epoch and the lower 20
-/// bits are random, so a restarted daemon gets a higher incarnation. It is written as 16
-/// hexadecimal digits.
+/// The upper 44 bits hold the start time in milliseconds since the Unix epoch, so a restarted daemon gets a
+/// higher incarnation. The lower 20 bits are random. The text form is 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(u64);
 
 const RANDOM_BITS: u32 = 20;
 
 impl Incarnation {
-    /// Creates the incarnation of a process that started at `unix_ms`, made unique by `random`.
+    /// Creates the incarnation of a process that started at `unix_ms`.
+    ///
+    /// The low 20 bits of `random` make it unique.
     pub const fn new(unix_ms: u64, random: u32) -> Self {
         Self((unix_ms << RANDOM_BITS) | (random as u64 & ((1 << RANDOM_BITS) - 1)))
     }
 
-    /// Creates an incarnation from its number.
-    pub const fn from_u64(number: u64) -> Self {
-        Self(number)
+    /// Creates an incarnation from its integer form.
+    pub const fn from_u64(value: u64) -> Self {
+        Self(value)
     }
 
-    /// Returns the number.
+    /// Returns the integer form.
     pub const fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// Returns when the process started, in milliseconds since the Unix epoch.
+    /// Returns the start time of the process, in milliseconds since the Unix epoch.
     pub const fn started_ms(self) -> u64 {
         self.0 >> RANDOM_BITS
     }
--- a/crates/types/src/id/name.rs
+++ b/crates/types/src/id/name.rs
@@ -1,4 +1,4 @@
-//! Names of resources, one type for each kind.
+//! Names of resources, with one type per kind.
 
 use std::{borrow, fmt};
 
@@ -6,13 +6,13 @@
     ($(#[$doc:meta] $name:ident),+ $(,)?) => {$(
         #[$doc]
         ///
-        /// Names are compared byte by byte; validation happens where resources are accepted.
+        /// Names are compared byte by byte. They are validated only when a resource is accepted.
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
         #[serde(transparent)]
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Creates the name from its text.
+            /// Creates a name from its text.
             pub fn new(text: &str) -> Self {
                 Self(text.into())
             }
@@ -50,20 +50,20 @@
 }
 
 name_type! {
-    /// Names a client account.
+    /// The name of a client account.
     AccountName,
-    /// Names an endpoint: one worker of a pool.
+    /// The name of an endpoint, which is one worker of a pool.
     EndpointName,
-    /// Names a host, of the system's own or one that carries endpoints.
+    /// The name of a host that runs a daemon or endpoints.
     HostName,
-    /// Names a model.
+    /// The name of a model.
     ModelName,
-    /// Names an endpoint pool.
+    /// The name of an endpoint pool.
     PoolName,
-    /// Names a tier.
+    /// The name of a tier.
     TierName,
-    /// Names a version of an endpoint's software.
+    /// The name of a version of an endpoint's software.
     VersionName,
-    /// Names an availability zone.
+    /// The name of an availability zone.
     ZoneName,
 }
--- a/crates/types/src/id/nonce.rs
+++ b/crates/types/src/id/nonce.rs
@@ -1,6 +1,8 @@
-//! Random marks that tell one writer's record from another's.
+//! Random nonces that distinguish the records of different writers.
 
-/// Marks one attempt to write a record, so that a writer recognises its own after a lost answer.
+/// A random number that identifies one attempt to write a record.
+///
+/// If the answer to a write is lost, the writer recognises its own record by the nonce.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
--- a/crates/types/src/id/request_id.rs
+++ b/crates/types/src/id/request_id.rs
@@ -1,15 +1,18 @@
-//! Identifiers of requests, chosen by a caller or issued by a daemon.
+//! Request identifiers, chosen by a caller or issued by a daemon.
 
 use std::{fmt, str};
 
 use crate::id;
 
-/// Names one request of one client account.
+/// The identifier of one request of one client account.
 ///
-/// The identifier is a UUIDv7, so it carries its creation time. One that a daemon issued also
-/// names the incarnation of its coordinator: `<uuid>.<incarnation>`. Another host dispatches it
-/// only if no record exists for it. One that was issued while no record could be written ends in
-/// `u` for unrecorded, `<uuid>.<incarnation>u`, and no other host ever dispatches it.
+/// It is a UUIDv7, so it carries its creation time. There are three text forms:
+///
+/// - `<uuid>`: the caller chose the identifier.
+/// - `<uuid>.<incarnation>`: the daemon with this incarnation issued it and coordinates the request. Another
+///   host dispatches the request only if no record exists for it.
+/// - `<uuid>.<incarnation>u`, `u` for unrecorded: the daemon issued it while no record could be written. No
+///   other host ever dispatches the request.
 ///
 /// ```
 /// use trefoildyke_types::id::RequestId;
@@ -22,19 +25,19 @@
 pub struct RequestId {
     uuid: uuid::Uuid,
     issuer: Option<id::Incarnation>,
-    /// Set only if there is an issuer.
+    /// Never true without an issuer.
     unrecorded: bool,
 }
 
-const UNRECORDED_MARK: char = 'u';
+const UNRECORDED_SUFFIX: char = 'u';
 
-/// Says why a text is not a request identifier.
+/// The reason why a text is not a request identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
     /// The text is not a UUID.
     #[error("the request id is not a UUID; send a UUIDv7, or none to have one issued")]
     NotUuid,
-    /// The UUID has another version and so carries no time.
+    /// The UUID is not of version 7 and so carries no creation time.
     #[error(
         "the request id is not a UUIDv7; its time decides how long answers are kept, so send version 7"
     )]
@@ -47,19 +50,19 @@
 }
 
 impl RequestId {
-    /// Creates an identifier that a caller chose.
+    /// Creates an identifier chosen by a caller.
     pub const fn chosen(uuid: uuid::Uuid) -> Self {
         Self { uuid, issuer: None, unrecorded: false }
     }
 
-    /// Creates an identifier that the daemon with incarnation `issuer` issues.
+    /// Creates an identifier issued by the daemon with incarnation `issuer`.
     pub const fn issued(uuid: uuid::Uuid, issuer: id::Incarnation) -> Self {
         Self { uuid, issuer: Some(issuer), unrecorded: false }
     }
 
-    /// Creates an identifier that only the daemon with incarnation `issuer` may ever dispatch.
+    /// Creates an identifier of a request that only the daemon with incarnation `issuer` may ever dispatch.
     ///
-    /// It is issued while the key-value service is down, so its dispatch leaves no record.
+    /// It is issued while the key-value service is down, so no record of the dispatch is written.
     pub const fn unrecorded(uuid: uuid::Uuid, issuer: id::Incarnation) -> Self {
         Self { uuid, issuer: Some(issuer), unrecorded: true }
     }
@@ -69,12 +72,12 @@
         self.uuid
     }
 
-    /// Returns the incarnation of the daemon that issued the identifier, if one did.
+    /// Returns the incarnation of the daemon that issued the identifier; `None` if a caller chose it.
     pub const fn issuer(&self) -> Option<id::Incarnation> {
         self.issuer
     }
 
-    /// Returns whether the identifier is dispatched without a record, and by its issuer only.
+    /// Returns whether the request is dispatched without a record, and only by the issuer.
     pub const fn is_unrecorded(&self) -> bool {
         self.unrecorded
     }
@@ -90,7 +93,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.uuid)?;
         match self.issuer {
-            Some(issuer) if self.unrecorded => write!(f, ".{issuer}{UNRECORDED_MARK}"),
+            Some(issuer) if self.unrecorded => write!(f, ".{issuer}{UNRECORDED_SUFFIX}"),
             Some(issuer) => write!(f, ".{issuer}"),
             None => Ok(()),
         }
@@ -112,9 +115,9 @@
         let Some(issuer) = issuer else {
             return Ok(Self::chosen(uuid));
         };
-        let recorded = issuer.strip_suffix(UNRECORDED_MARK);
-        let unrecorded = recorded.is_some();
-        let issuer = recorded.unwrap_or(issuer).parse().map_err(|_| IdError::BadIssuer)?;
+        let stripped = issuer.strip_suffix(UNRECORDED_SUFFIX);
+        let unrecorded = stripped.is_some();
+        let issuer = stripped.unwrap_or(issuer).parse().map_err(|_| IdError::BadIssuer)?;
         Ok(Self { uuid, issuer: Some(issuer), unrecorded })
     }
 }
--- a/crates/types/src/id/request_key.rs
+++ b/crates/types/src/id/request_key.rs
@@ -1,10 +1,12 @@
-//! The scope in which a request identifier is unique.
+//! Keys that identify a request across client accounts.
 
 use std::fmt;
 
 use crate::id;
 
-/// Names a request over all client accounts: one account never reaches another's request.
+/// The identity of a request across all client accounts.
+///
+/// Because the key contains the account, one account cannot reach the request of another.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -17,7 +19,7 @@
 }
 
 impl RequestKey {
-    /// Returns a stable hash, the same on every host and in every version.
+    /// Returns a hash that is the same on every host and in every version.
     pub fn stable_hash(&self) -> u64 {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         hasher.update(self.account.as_str().as_bytes());
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Domain types that every part of trefoildyke shares.
+//! Domain types shared by all crates of trefoildyke.
 //!
-//! The crate holds plain data: no clock, no I/O and no decisions.
+//! The crate contains plain data only: it reads no clock, does no I/O and makes no decisions.
 
 pub mod engine;
 pub mod error;
--- a/crates/types/src/request/ask.rs
+++ b/crates/types/src/request/ask.rs
@@ -1,25 +1,25 @@
-//! What a coordinator tells a scheduler about a waiting request.
+//! Permit requests that coordinators send to schedulers.
 
 use crate::id;
 
-/// Describes a waiting request to the scheduler of its pool shard.
+/// A coordinator's request for a permit, sent to the scheduler of the pool shard.
 ///
-/// The prompt itself never reaches the scheduler.
+/// It describes the waiting request without the prompt, which the scheduler never receives.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ask {
-    /// The request.
+    /// The waiting request.
     pub key: id::RequestKey,
-    /// The coordinator that waits for the permit.
+    /// The coordinator that asks for the permit.
     pub coordinator: id::Incarnation,
     /// The tier's rank; 0 is the most urgent and the last to be shed.
     pub rank: u8,
-    /// The prompt's length in tokens.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Hashes of the prompt's blocks in order, each covering all before it.
+    /// Hashes of the prompt's blocks in order; each hash covers all blocks before it too.
     pub prefix: Vec<u64>,
-    /// The time left until the deadline when the ask was sent, in milliseconds.
+    /// The time that remained until the deadline when the message was sent, in milliseconds.
     pub left_ms: u64,
 }
--- a/crates/types/src/request/chunk.rs
+++ b/crates/types/src/request/chunk.rs
@@ -1,30 +1,31 @@
-//! Pieces of a streamed answer.
+//! Chunks of a streamed answer.
 
 use crate::id;
 
-/// Holds one piece of an answer.
+/// One chunk of a streamed answer.
 ///
-/// Every chunk names its request, so an answer that comes on the wrong connection is recognised.
+/// Every chunk carries the identifier of its request, so a receiver can detect an answer that arrives on the
+/// wrong connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Chunk {
     /// The request that the chunk answers.
     pub id: id::RequestId,
-    /// The number of tokens before this chunk; consecutive chunks leave no gap.
+    /// The number of output tokens before this chunk; consecutive chunks leave no gap.
     pub offset: u64,
-    /// The tokens of the chunk, one entry a token.
+    /// The tokens of the chunk, one entry per token.
     pub tokens: Vec<String>,
-    /// Set on the last chunk only.
+    /// How the answer ended; set on the last chunk only.
     #[serde(default)]
     pub finish: Option<Finish>,
 }
 
-/// Says how an answer ended.
+/// How a streamed answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finish {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
-    /// The answer was cancelled and is not whole.
+    /// The answer was cancelled and is incomplete.
     Cancelled,
 }
--- a/crates/types/src/request/mod.rs
+++ b/crates/types/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What callers send, what the scheduler grants and what callers get.
+//! Requests of callers, permits of schedulers, and the answers to callers.
 
 mod ask;
 mod chunk;
--- a/crates/types/src/request/permit.rs
+++ b/crates/types/src/request/permit.rs
@@ -1,22 +1,23 @@
-//! The scheduler's leave to dispatch.
+//! Permits, by which a scheduler allows a dispatch.
 
 use crate::id;
 
-/// Allows one coordinator to dispatch one request to one endpoint.
+/// Permission for one coordinator to dispatch one request to one endpoint.
 ///
-/// A permit orders and places; it does not make a dispatch safe. That is what the coordinator's
-/// own state and the intent are for. An expired permit is handed back unused.
+/// A permit decides only the order and the endpoint of a dispatch. That a request is not dispatched twice
+/// is ensured by the coordinator's own state and the [`Intent`](crate::request::Intent), not by the permit.
+/// An expired permit is returned unused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Permit {
     /// The request.
     pub key: id::RequestKey,
-    /// Where to dispatch.
+    /// The endpoint to dispatch to.
     pub endpoint: id::EndpointName,
-    /// How long the permit holds after it was received, in milliseconds.
+    /// How long the permit is valid after the coordinator received it, in milliseconds.
     pub ttl_ms: u64,
-    /// The scheduler's incarnation.
+    /// The incarnation of the scheduler that granted the permit.
     pub scheduler: id::Incarnation,
-    /// How many prompt tokens the scheduler expects in the endpoint's cache.
+    /// The number of prompt tokens that the scheduler expects in the endpoint's prefix cache.
     pub cached_tokens: u32,
 }
--- a/crates/types/src/resource/endpoint.rs
+++ b/crates/types/src/resource/endpoint.rs
@@ -1,28 +1,28 @@
-//! Endpoints: single workers.
+//! Endpoints: the workers of a pool.
 
 use std::net;
 
 use crate::id;
 
-/// Describes an endpoint.
+/// The specification of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
     /// The pool that the endpoint serves.
     pub pool: id::PoolName,
-    /// The host that carries the endpoint, as the platform's list names it.
+    /// The host that runs the endpoint, by its name in the platform's host list.
     pub host: id::HostName,
-    /// The availability zone.
+    /// The availability zone of the host.
     pub zone: id::ZoneName,
-    /// Where the endpoint listens.
+    /// The address on which the endpoint listens.
     pub address: net::SocketAddr,
-    /// How many requests the endpoint runs at once; at least 1.
+    /// The number of requests that the endpoint can run concurrently; at least 1.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// How many prompt tokens the endpoint's prefix cache holds; 0 for none.
+    /// The capacity of the endpoint's prefix cache, in prompt tokens; 0 if there is no cache.
     #[serde(default)]
     pub cache_tokens: u32,
-    /// Whether the endpoint refuses an order that carries an old fencing token.
+    /// Whether the endpoint rejects an order with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
 }
--- a/crates/types/src/resource/endpoint_pool.rs
+++ b/crates/types/src/resource/endpoint_pool.rs
@@ -1,33 +1,33 @@
-//! Endpoint pools: endpoints that can serve the same requests.
+//! Endpoint pools: groups of endpoints that can serve the same requests.
 
 use crate::id;
 
-/// Says how the endpoints of a pool are spoken to.
+/// The protocol that the endpoints of a pool use.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum PoolProtocol {
     /// Model engines that serve the named model.
     Engine {
-        /// The model.
+        /// The model that the engines serve.
         model: id::ModelName,
     },
     /// Plain services.
     Service {},
 }
 
-/// Describes an endpoint pool.
+/// The specification of an endpoint pool.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointPoolSpec {
-    /// How the pool's endpoints are spoken to.
+    /// The protocol that the pool's endpoints use.
     pub protocol: PoolProtocol,
-    /// Into how many shards the pool is divided; at least 1.
+    /// The number of shards of the pool; at least 1.
     ///
-    /// Each shard is scheduled on its own; keep a shard at 32 endpoints or fewer.
-    #[serde(default = "one")]
+    /// Each shard is scheduled independently and should have at most 32 endpoints.
+    #[serde(default = "default_shards")]
     pub shards: u16,
 }
 
-fn one() -> u16 {
+fn default_shards() -> u16 {
     1
 }
--- a/crates/types/src/resource/kind.rs
+++ b/crates/types/src/resource/kind.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, str};
 
-/// Names a kind of resource.
+/// The kind of a resource.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -32,7 +32,7 @@
         Self::Tier,
     ];
 
-    /// Returns the kind's name as resources and paths write it.
+    /// Returns the name of the kind as written in resources and paths.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::ClientAccount => "ClientAccount",
@@ -51,7 +51,7 @@
     }
 }
 
-/// Says that a text names no kind.
+/// The error for a text that names no kind.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "`{0}` is not a kind; use ClientAccount, Endpoint, EndpointPool, EngineOrder, PlannedStop or Tier"
--- a/crates/types/src/resource/mod.rs
+++ b/crates/types/src/resource/mod.rs
@@ -1,4 +1,4 @@
-//! Resources that operators declare and the status they watch.
+//! Resources that operators declare, and their status.
 
 mod client_account;
 mod endpoint;
--- a/crates/types/src/resource/planned_stop.rs
+++ b/crates/types/src/resource/planned_stop.rs
@@ -1,23 +1,23 @@
-//! Planned stops: graceful shutdowns that operators declare.
+//! Planned stops: graceful shutdowns declared by operators.
 
 use crate::id;
 
-/// Says what a planned stop stops.
+/// The target of a planned stop.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum StopTarget {
     /// One endpoint.
     Endpoint(id::EndpointName),
-    /// Every endpoint on a host and, if the host is one of the system's own, its daemon.
+    /// Every endpoint on a host and, if the host runs a daemon, the daemon.
     Host(id::HostName),
     /// Every endpoint of a pool.
     Pool(id::PoolName),
 }
 
-/// Describes a planned stop; it holds until the resource is deleted.
+/// The specification of a planned stop, which lasts until the resource is deleted.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedStopSpec {
-    /// What to stop.
+    /// What is stopped.
     pub target: StopTarget,
 }
--- a/crates/types/src/resource/resource_key.rs
+++ b/crates/types/src/resource/resource_key.rs
@@ -1,16 +1,16 @@
-//! The identity of a resource.
+//! Keys that identify resources.
 
 use std::fmt;
 
 use crate::resource;
 
-/// Names one resource.
+/// The identity of one resource.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(deny_unknown_fields)]
 pub struct ResourceKey {
-    /// The kind.
+    /// The kind of the resource.
     pub kind: resource::Kind,
     /// The name, unique within the kind.
     pub name: String,
--- a/crates/types/src/resource/spec.rs
+++ b/crates/types/src/resource/spec.rs
@@ -1,8 +1,8 @@
-//! The envelope that all resources share.
+//! The structure that all kinds of resources share.
 
 use crate::resource;
 
-/// Holds what an operator wants, by kind.
+/// The desired state that an operator declares, by kind.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "kind", content = "spec")]
 pub enum Spec {
@@ -12,7 +12,7 @@
     Endpoint(resource::EndpointSpec),
     /// An endpoint pool.
     EndpointPool(resource::EndpointPoolSpec),
-    /// An order to an engine.
+    /// An engine order.
     EngineOrder(resource::EngineOrderSpec),
     /// A planned stop.
     PlannedStop(resource::PlannedStopSpec),
@@ -21,7 +21,7 @@
 }
 
 impl Spec {
-    /// Returns the kind.
+    /// Returns the kind of the resource.
     pub const fn kind(&self) -> resource::Kind {
         match self {
             Self::ClientAccount(_) => resource::Kind::ClientAccount,
@@ -34,27 +34,29 @@
     }
 }
 
-/// Holds one resource: what is wanted, what is accepted and what holds.
+/// One resource: the desired state, its accepted version and its status.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Resource {
     /// The name, unique within the kind.
     pub name: String,
-    /// What the operator wants.
+    /// The desired state.
     #[serde(flatten)]
     pub spec: Spec,
-    /// How often the spec has been accepted, from 1; 0 in a resource not yet accepted.
+    /// The number of specs accepted since the resource was created, from 1; 0 before the first.
     #[serde(default)]
     pub generation: u64,
-    /// The root version that accepted the spec; replacing compares it.
+    /// The root version in which the spec was accepted.
+    ///
+    /// A replacement or deletion must name it and is otherwise refused as a conflict; a creation names 0.
     #[serde(default)]
     pub resource_version: u64,
-    /// What holds; `None` in what operators send and in what is stored.
+    /// The observed status; `None` in resources that operators send and in stored ones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<resource::Status>,
 }
 
 impl Resource {
-    /// Returns the resource's identity.
+    /// Returns the kind and name, which identify the resource.
     pub fn key(&self) -> resource::ResourceKey {
         resource::ResourceKey { kind: self.spec.kind(), name: self.name.clone() }
     }
--- a/crates/types/src/resource/status.rs
+++ b/crates/types/src/resource/status.rs
@@ -1,33 +1,35 @@
-//! What holds of a resource.
+//! The status of a resource.
 
-/// Says how far a resource has come.
+/// How far the application of a resource has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Phase {
-    /// Accepted, but not yet reported by every live daemon.
+    /// The resource is accepted, but some live daemon has not reported its version yet.
     Accepted,
     /// Every live daemon has reported a root version that contains the resource.
     InForce,
-    /// A planned stop waits for requests in progress to end.
+    /// The planned stop waits for requests in progress to end.
     Stopping,
-    /// Nothing of a planned stop's target is in progress and nothing new will start.
+    /// No request is in progress on the target of the planned stop, and no new one will start.
     Stopped,
-    /// An order was carried out.
+    /// The engine order was carried out.
     Done,
-    /// An order failed; `message` says why.
+    /// The engine order failed; `message` gives the reason.
     Failed,
 }
 
-/// Describes what holds of a resource.
+/// The observed status of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Status {
-    /// How far the resource has come.
+    /// How far the application of the resource has progressed.
     pub phase: Phase,
-    /// Live daemons that have reported the resource's version.
+    /// The number of live daemons known to have reported the resource's version.
+    ///
+    /// It is `live` once all of them have reported it, and 0 before.
     pub reported: u32,
-    /// Live daemons, as far as the answering daemon knows.
+    /// The number of live daemons, as far as the answering daemon knows.
     pub live: u32,
-    /// Details for a person to read.
+    /// Human-readable details.
     #[serde(default)]
     pub message: String,
 }
--- a/crates/types/src/resource/tier.rs
+++ b/crates/types/src/resource/tier.rs
@@ -1,11 +1,11 @@
-//! Tiers: which requests survive overload.
+//! Tiers: the priority of requests under overload.
 
-/// Describes a tier.
+/// The specification of a tier.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierSpec {
-    /// The rank; 0 is the most urgent and the last to be shed. No two tiers share a rank.
+    /// The rank, unique among the tiers; 0 is the most urgent and the last to be shed.
     pub rank: u8,
-    /// The deadline of requests that name none, in milliseconds; at least 1.
+    /// The deadline of requests that set none, in milliseconds; at least 1.
     pub deadline_ms: u64,
 }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,11 +1,11 @@
-//! Points in time as the decision code sees them.
+//! Timestamps for the decision code.
 
 use std::{fmt, ops, time};
 
 /// A point in time, in microseconds since an origin that the caller chooses.
 ///
-/// Decision code receives timestamps and never reads a clock. A daemon uses its monotonic clock;
-/// an experiment uses virtual time. Timestamps of two hosts must not be compared.
+/// Decision code receives timestamps and never reads a clock. A daemon takes them from its monotonic clock,
+/// an experiment from virtual time. Timestamps of different hosts must not be compared.
 ///
 /// ```
 /// use std::time::Duration;
@@ -54,7 +54,7 @@
         self.0 / 1_000
     }
 
-    /// Returns the time that has passed since `earlier`, or zero if `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than this timestamp.
     pub const fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -63,8 +63,8 @@
 impl ops::Add<time::Duration> for Timestamp {
     type Output = Self;
 
-    fn add(self, length: time::Duration) -> Self {
-        let micros = u64::try_from(length.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: time::Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! A request scheduler for unlike model engines on hosts that may vanish at any moment.
+//! A request scheduler for heterogeneous model engines on hosts that can disappear at any time.
 
 pub use trefoildyke_daemon as daemon;
 pub use trefoildyke_decide as decide;
