--- a/crates/kernel/src/control.rs
+++ b/crates/kernel/src/control.rs
@@ -1,4 +1,4 @@
-//! The thread of the control state.
+//! The control thread, which holds the control state.
 
 use std::thread;
 
@@ -7,10 +7,10 @@
 
 use crate::error;
 
-/// Runs a current-thread runtime on a thread of its own until it is ended.
+/// A thread that runs a current-thread runtime until the value is dropped.
 pub(crate) struct ControlThread {
     handle: runtime::Handle,
-    end: tokio_sync::CancellationToken,
+    stop: tokio_sync::CancellationToken,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -20,11 +20,11 @@
         let runtime =
             runtime::Builder::new_current_thread().enable_all().build().map_err(start_error)?;
         let handle = runtime.handle().clone();
-        let end = tokio_sync::CancellationToken::new();
-        let ended = end.clone();
-        let body = move || runtime.block_on(ended.cancelled());
-        let thread = thread::Builder::new().name("control".to_owned()).spawn(body);
-        Ok(Self { handle, end, thread: Some(thread.map_err(start_error)?) })
+        let stop = tokio_sync::CancellationToken::new();
+        let stop_requested = stop.clone();
+        let run = move || runtime.block_on(stop_requested.cancelled());
+        let thread = thread::Builder::new().name("control".to_owned()).spawn(run);
+        Ok(Self { handle, stop, thread: Some(thread.map_err(start_error)?) })
     }
 
     pub(crate) const fn handle(&self) -> &runtime::Handle {
@@ -34,7 +34,7 @@
 
 impl Drop for ControlThread {
     fn drop(&mut self) {
-        self.end.cancel();
+        self.stop.cancel();
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
--- a/crates/kernel/src/fault.rs
+++ b/crates/kernel/src/fault.rs
@@ -2,12 +2,12 @@
 
 use std::{any, fmt};
 
-/// Reports a task that ended by an error or a panic.
+/// The report of a task that ended with an error or a panic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The task's name.
+    /// The name of the task.
     pub task: String,
-    /// What happened, for a person to read.
+    /// The error or panic message, in human-readable form.
     pub cause: String,
 }
 
@@ -17,12 +17,12 @@
     }
 
     pub(crate) fn from_panic(task: &str, panic: &(dyn any::Any + Send)) -> Self {
-        let text = panic
+        let message = panic
             .downcast_ref::<&str>()
             .copied()
             .or_else(|| panic.downcast_ref::<String>().map(String::as_str))
             .unwrap_or("no message");
-        Self { task: task.to_owned(), cause: format!("panic: {text}") }
+        Self { task: task.to_owned(), cause: format!("panic: {message}") }
     }
 }
 
--- a/crates/kernel/src/gate.rs
+++ b/crates/kernel/src/gate.rs
@@ -1,20 +1,22 @@
-//! Admission of work until a graceful stop.
+//! Admission of work until a graceful stop begins.
 
 use std::sync;
 use std::sync::atomic;
 
 use tokio_util::sync as tokio_sync;
 
-use crate::count;
+use crate::counter;
 
 #[derive(Debug)]
 struct Shared {
-    count: count::Count<atomic::AtomicUsize>,
-    /// Cancelled once, when the gate is closed and nothing is in progress.
+    counter: counter::ClosableCounter<atomic::AtomicUsize>,
+    /// Cancelled once, when the gate is closed and no work is in progress.
     drained: tokio_sync::CancellationToken,
 }
 
-/// Admits work until it is closed, and tells when all admitted work has ended.
+/// A gate that admits work until it is closed, and signals when all admitted work has ended.
+///
+/// Clones share the same state.
 ///
 /// ```
 /// let gate = trefoildyke_kernel::Gate::default();
@@ -33,49 +35,49 @@
 
 impl Default for Gate {
     fn default() -> Self {
-        let count = count::Count::new(atomic::AtomicUsize::new(0));
+        let counter = counter::ClosableCounter::new(atomic::AtomicUsize::new(0));
         let drained = tokio_sync::CancellationToken::new();
-        Self { shared: sync::Arc::new(Shared { count, drained }) }
+        Self { shared: sync::Arc::new(Shared { counter, drained }) }
     }
 }
 
 impl Gate {
-    /// Admits one piece of work; `None` if the gate is closed.
+    /// Admits one piece of work; returns `None` if the gate is closed.
     ///
-    /// The work is in progress until the pass is dropped.
+    /// The work counts as in progress until the returned pass is dropped.
     pub fn enter(&self) -> Option<Pass> {
-        self.shared.count.enter().then(|| Pass { shared: sync::Arc::clone(&self.shared) })
+        self.shared.counter.try_start().then(|| Pass { shared: sync::Arc::clone(&self.shared) })
     }
 
-    /// Closes the gate: nothing more is admitted, what was admitted goes on.
+    /// Closes the gate: no more work is admitted, and admitted work continues.
     pub fn close(&self) {
-        if self.shared.count.close() {
+        if self.shared.counter.close() {
             self.shared.drained.cancel();
         }
     }
 
-    /// Returns how much admitted work is in progress.
+    /// Returns the number of admitted pieces of work in progress.
     pub fn in_progress(&self) -> usize {
-        self.shared.count.value()
+        self.shared.counter.in_progress()
     }
 
     /// Returns whether the gate is closed.
     pub fn is_closed(&self) -> bool {
-        self.shared.count.is_closed()
+        self.shared.counter.is_closed()
     }
 
-    /// Returns whether the gate is closed and nothing is in progress.
+    /// Returns whether the gate is closed and no work is in progress.
     pub fn is_drained(&self) -> bool {
         self.shared.drained.is_cancelled()
     }
 
-    /// Waits until the gate is closed and nothing is in progress.
+    /// Waits until the gate is closed and no work is in progress.
     pub async fn drained(&self) {
         self.shared.drained.cancelled().await;
     }
 }
 
-/// Marks admitted work as in progress until it is dropped.
+/// A guard that keeps one admitted piece of work in progress until it is dropped.
 #[derive(Debug)]
 pub struct Pass {
     shared: sync::Arc<Shared>,
@@ -83,7 +85,7 @@
 
 impl Drop for Pass {
     fn drop(&mut self) {
-        if self.shared.count.leave() {
+        if self.shared.counter.finish() {
             self.shared.drained.cancel();
         }
     }
--- a/crates/kernel/src/kernel.rs
+++ b/crates/kernel/src/kernel.rs
@@ -7,40 +7,40 @@
 
 use crate::{control, error, fault, registry, scope, signals};
 
-const DEFAULT_WORKERS: usize = 2;
-const CLOSE_LIMIT: time::Duration = time::Duration::from_secs(5);
+const DEFAULT_TRAFFIC_THREADS: usize = 2;
+const CLOSE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Builds a [`Kernel`].
+/// A builder of a [`Kernel`].
 #[derive(Clone, Debug)]
 pub struct Builder {
-    workers: usize,
+    threads: usize,
 }
 
 impl Builder {
-    /// Runs traffic on `workers` threads; at least 1.
+    /// Sets the number of threads that carry traffic; 0 counts as 1.
     #[must_use]
-    pub fn with_traffic_threads(self, workers: usize) -> Self {
-        Self { workers: workers.max(1) }
+    pub fn with_traffic_threads(self, threads: usize) -> Self {
+        Self { threads: threads.max(1) }
     }
 
     /// Starts the control thread and the traffic threads.
     ///
     /// # Errors
     ///
-    /// Fails if a thread cannot be started.
+    /// Returns [`error::Error::Start`] if a thread or runtime cannot be started.
     pub fn start(&self) -> Result<Kernel, error::Error> {
         let control_thread = control::ControlThread::start()?;
         let traffic_runtime = runtime::Builder::new_multi_thread()
-            .worker_threads(self.workers)
+            .worker_threads(self.threads)
             .thread_name("traffic")
             .enable_all()
             .build()
             .map_err(|cause| error::Error::Start { part: "traffic threads", cause })?;
-        let (report, faults) = sync::mpsc::unbounded_channel();
+        let (fault_sender, faults) = sync::mpsc::unbounded_channel();
         Ok(Kernel {
             registry: registry::Registry::default(),
-            control: scope::Scope::new(control_thread.handle().clone(), report.clone()),
-            traffic: scope::Scope::new(traffic_runtime.handle().clone(), report),
+            control: scope::Scope::new(control_thread.handle().clone(), fault_sender.clone()),
+            traffic: scope::Scope::new(traffic_runtime.handle().clone(), fault_sender),
             stopping: tokio_sync::CancellationToken::new(),
             faults,
             control_thread,
@@ -49,10 +49,10 @@
     }
 }
 
-/// Runs the services of one daemon.
+/// The runtimes, scopes and services of one daemon.
 ///
-/// A stop has two phases: first [`Kernel::stopping`] is cancelled, services refuse new work and
-/// finish what is in progress; then both scopes are cancelled and joined.
+/// A stop has two phases. First, [`Kernel::stopping`] is cancelled: services refuse new work and finish the
+/// work in progress. Then [`Kernel::close`] cancels and joins both scopes.
 pub struct Kernel {
     registry: registry::Registry,
     control: scope::Scope,
@@ -66,15 +66,15 @@
 impl Kernel {
     /// Returns a builder with two traffic threads.
     pub const fn builder() -> Builder {
-        Builder { workers: DEFAULT_WORKERS }
+        Builder { threads: DEFAULT_TRAFFIC_THREADS }
     }
 
-    /// Returns the services by name.
+    /// Returns the registry of services.
     pub const fn registry(&self) -> &registry::Registry {
         &self.registry
     }
 
-    /// Returns the scope of the one thread that holds control state.
+    /// Returns the scope of the control thread, which holds the control state.
     pub const fn control(&self) -> &scope::Scope {
         &self.control
     }
@@ -84,54 +84,56 @@
         &self.traffic
     }
 
-    /// Returns the token whose cancellation asks for a graceful stop; anyone may cancel it.
+    /// Returns the token whose cancellation requests a graceful stop; any holder may cancel it.
     pub const fn stopping(&self) -> &tokio_sync::CancellationToken {
         &self.stopping
     }
 
-    /// Runs a future on the traffic threads and waits for it, for start-up and tests.
+    /// Runs a future on the traffic runtime and blocks until it completes; for start-up and tests.
     pub fn block_on<F: Future>(&self, future: F) -> F::Output {
         self.traffic_runtime.block_on(future)
     }
 
-    /// Waits for a signal, a requested stop or a fault, and then begins the stop.
+    /// Waits for SIGTERM, SIGINT, a requested stop or a fault, and then cancels [`Kernel::stopping`].
     ///
     /// # Errors
     ///
-    /// Fails if signals cannot be received.
+    /// Fails if the signal handlers cannot be installed.
     pub fn wait_for_stop(&mut self) -> io::Result<()> {
         let stopping = self.stopping.clone();
         let faults = &mut self.faults;
         let cause = self.traffic_runtime.block_on(async {
             tokio::select! {
-                signal = signals::end_requested() => signal.map(str::to_owned),
-                () = stopping.cancelled() => Ok("a requested stop".to_owned()),
+                signal = signals::stop_signal() => signal.map(str::to_owned),
+                () = stopping.cancelled() => Ok("stop requested".to_owned()),
                 Some(fault) = faults.recv() => Ok(fault.to_string()),
             }
         })?;
-        log::info!("stopping because of {cause}");
+        log::info!("stopping: {cause}");
         self.stopping.cancel();
         Ok(())
     }
 
-    /// Cancels and joins everything that was spawned and returns the faults met.
+    /// Cancels and joins all tasks; returns the faults that [`Kernel::wait_for_stop`] has not received.
+    ///
+    /// If a task does not end within 5 seconds, the last fault says so.
     #[must_use]
     pub fn close(mut self) -> Vec<fault::Fault> {
         self.stopping.cancel();
         let (control, traffic) = (self.control.clone(), self.traffic.clone());
-        let ended = self.traffic_runtime.block_on(async {
-            let both = tokio::join!(traffic.close(CLOSE_LIMIT), control.close(CLOSE_LIMIT));
-            both.0 && both.1
+        let all_ended = self.traffic_runtime.block_on(async {
+            let ended = tokio::join!(traffic.close(CLOSE_TIMEOUT), control.close(CLOSE_TIMEOUT));
+            ended.0 && ended.1
         });
         let mut faults = Vec::new();
         while let Ok(fault) = self.faults.try_recv() {
             faults.push(fault);
         }
-        if !ended {
+        if !all_ended {
             faults.push(fault::Fault::new("kernel", &"tasks did not end after cancellation"));
         }
         drop(self.control_thread);
-        self.traffic_runtime.shutdown_timeout(CLOSE_LIMIT);
+        self.traffic_runtime.shutdown_timeout(CLOSE_TIMEOUT);
         faults
     }
 }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,11 +1,11 @@
-//! The daemon's micro-kernel: named services, joined tasks, signals.
+//! The daemon's micro-kernel: a service registry, task scopes and signal handling.
 //!
 //! A [`Kernel`] owns two runtimes: one thread for control state and several for traffic. Services
-//! are started on them through a [`Scope`], which joins everything that was spawned, and find each
-//! other by name in the [`Registry`].
+//! spawn their tasks on them through a [`Scope`], which joins all its tasks when it is closed, and find
+//! each other by name in the [`Registry`].
 
 mod control;
-mod count;
+mod counter;
 mod error;
 mod fault;
 mod gate;
@@ -14,7 +14,7 @@
 mod scope;
 mod signals;
 
-pub use count::{Count, Word};
+pub use counter::{ClosableCounter, SharedWord};
 pub use error::Error;
 pub use fault::Fault;
 pub use gate::{Gate, Pass};
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -1,12 +1,12 @@
-//! Services by name.
+//! The registry of services.
 
 use std::{any, collections, sync};
 
 use crate::error;
 
-type Entry = sync::Arc<dyn any::Any + Send + Sync>;
+type AnyHandle = sync::Arc<dyn any::Any + Send + Sync>;
 
-/// Holds the handles of the services that run, by name.
+/// The handles of the running services, by name. Clones share the same registry.
 ///
 /// ```
 /// let registry = trefoildyke_kernel::Registry::default();
@@ -16,16 +16,16 @@
 /// ```
 #[derive(Clone, Default)]
 pub struct Registry {
-    /// A name never changes its handle: services find the same one for as long as the daemon runs.
-    entries: sync::Arc<sync::Mutex<collections::BTreeMap<String, Entry>>>,
+    /// An entry is never replaced or removed: a name gives the same handle for as long as the daemon runs.
+    entries: sync::Arc<sync::Mutex<collections::BTreeMap<String, AnyHandle>>>,
 }
 
 impl Registry {
-    /// Publishes a service's handle.
+    /// Publishes the handle of a service under a name.
     ///
     /// # Errors
     ///
-    /// Fails if the name is taken.
+    /// Returns [`error::Error::NameTaken`] if the name is taken.
     pub fn publish<T>(&self, name: &str, handle: T) -> Result<(), error::Error>
     where
         T: Clone + Send + Sync + 'static,
@@ -38,29 +38,30 @@
         Ok(())
     }
 
-    /// Finds a service's handle.
+    /// Returns a clone of the handle published under a name.
     ///
     /// # Errors
     ///
-    /// Fails if nothing is published under the name, or something of another type.
+    /// Returns [`error::Error::NotPublished`] if nothing is published under the name, and
+    /// [`error::Error::WrongType`] if the handle is not a `T`.
     pub fn find<T>(&self, name: &str) -> Result<T, error::Error>
     where
         T: Clone + Send + Sync + 'static,
     {
-        let entry = self.lock().get(name).cloned();
-        let entry = entry.ok_or_else(|| error::Error::NotPublished(name.to_owned()))?;
-        entry.downcast_ref::<T>().cloned().ok_or_else(|| error::Error::WrongType {
+        let handle = self.lock().get(name).cloned();
+        let handle = handle.ok_or_else(|| error::Error::NotPublished(name.to_owned()))?;
+        handle.downcast_ref::<T>().cloned().ok_or_else(|| error::Error::WrongType {
             name: name.to_owned(),
-            wanted: any::type_name::<T>(),
+            expected: any::type_name::<T>(),
         })
     }
 
-    /// Returns the names of all published services in order.
+    /// Returns the names of all published services in alphabetical order.
     pub fn names(&self) -> Vec<String> {
         self.lock().keys().cloned().collect()
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, collections::BTreeMap<String, Entry>> {
+    fn lock(&self) -> sync::MutexGuard<'_, collections::BTreeMap<String, AnyHandle>> {
         self.entries.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
--- a/crates/kernel/src/scope.rs
+++ b/crates/kernel/src/scope.rs
@@ -1,4 +1,4 @@
-//! Tasks that their parent joins.
+//! Structured concurrency: scopes that join the tasks spawned in them.
 
 use std::{fmt, future, panic, pin, task, time};
 
@@ -7,10 +7,11 @@
 
 use crate::fault;
 
-/// Spawns tasks on one runtime and joins every one of them.
+/// A group of tasks on one runtime that are cancelled and joined together.
 ///
-/// Tasks watch [`Scope::cancelled`] and end soon after it. A task that ends by an error or a panic
-/// is reported as a [`fault::Fault`].
+/// Tasks must wait for [`Scope::cancelled`] and end soon after it. A task that ends with an error or a panic
+/// yields a [`fault::Fault`], which stops the daemon ([`Scope::spawn`]) or is logged
+/// ([`Scope::spawn_isolated`]). Clones share the same tasks.
 #[derive(Clone)]
 pub struct Scope {
     runtime: runtime::Handle,
@@ -28,9 +29,9 @@
         Self { runtime, token, tracker: tokio_task::TaskTracker::new(), faults }
     }
 
-    /// Returns a scope on the same runtime that is cancelled with this one and joined on its own.
+    /// Returns a scope on the same runtime that is cancelled together with this one but joined separately.
     ///
-    /// Whoever creates it calls [`Scope::close`] on it before its own end.
+    /// The task that creates the child must call [`Scope::close`] on it before it ends itself.
     pub fn child(&self) -> Self {
         Self {
             runtime: self.runtime.clone(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Spawns a task on which the daemon depends; an error or panic stops the daemon.
+    /// Spawns a task on which the daemon depends; an error or panic in it stops the daemon.
     pub fn spawn<F, E>(&self, name: &str, task: F)
     where
         F: Future<Output = Result<(), E>> + Send + 'static,
@@ -48,31 +49,31 @@
     {
         let name = name.to_owned();
         let faults = self.faults.clone();
-        let watched = async move {
-            if let Err(fault) = watch(&name, task).await {
-                // The receiver is gone only after the kernel has stopped.
+        let monitored = async move {
+            if let Err(fault) = run_to_fault(&name, task).await {
+                // Sending fails only after the kernel has stopped and dropped the receiver.
                 let _ = faults.send(fault);
             }
         };
-        self.tracker.spawn_on(watched, &self.runtime);
+        self.tracker.spawn_on(monitored, &self.runtime);
     }
 
-    /// Spawns a task whose error or panic is logged and harms nothing else, such as a connection's.
+    /// Spawns a task, such as that of one connection, whose error or panic is only logged.
     pub fn spawn_isolated<F, E>(&self, name: &str, task: F)
     where
         F: Future<Output = Result<(), E>> + Send + 'static,
         E: fmt::Display,
     {
         let name = name.to_owned();
-        let watched = async move {
-            if let Err(fault) = watch(&name, task).await {
+        let monitored = async move {
+            if let Err(fault) = run_to_fault(&name, task).await {
                 log::warn!("{fault}");
             }
         };
-        self.tracker.spawn_on(watched, &self.runtime);
+        self.tracker.spawn_on(monitored, &self.runtime);
     }
 
-    /// Returns the token that is cancelled when the scope ends.
+    /// Returns the token that is cancelled when the scope is closed.
     pub const fn token(&self) -> &tokio_sync::CancellationToken {
         &self.token
     }
@@ -82,40 +83,40 @@
         self.token.cancelled().await;
     }
 
-    /// Returns how many tasks are running.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         self.tracker.len()
     }
 
-    /// Cancels the scope and joins its tasks, for `limit` at most; says whether all have ended.
-    pub async fn close(&self, limit: time::Duration) -> bool {
+    /// Cancels the scope and waits up to `timeout` for its tasks; returns whether all have ended.
+    pub async fn close(&self, timeout: time::Duration) -> bool {
         self.token.cancel();
         self.tracker.close();
-        tokio::time::timeout(limit, self.tracker.wait()).await.is_ok()
+        tokio::time::timeout(timeout, self.tracker.wait()).await.is_ok()
     }
 }
 
-async fn watch<F, E>(name: &str, task: F) -> Result<(), fault::Fault>
+async fn run_to_fault<F, E>(name: &str, task: F) -> Result<(), fault::Fault>
 where
     F: Future<Output = Result<(), E>>,
     E: fmt::Display,
 {
     let mut task = pin::pin!(task);
-    let guarded = future::poll_fn(|context| poll_guarded(task.as_mut(), context));
-    match guarded.await {
+    let caught = future::poll_fn(|context| poll_catching_panics(task.as_mut(), context));
+    match caught.await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(fault::Fault::new(name, &error)),
         Err(panic) => Err(fault::Fault::from_panic(name, panic.as_ref())),
     }
 }
 
-type Guarded<T> = Result<T, Box<dyn std::any::Any + Send>>;
+type PanicResult<T> = Result<T, Box<dyn std::any::Any + Send>>;
 
-fn poll_guarded<F: Future>(
+fn poll_catching_panics<F: Future>(
     task: pin::Pin<&mut F>,
     context: &mut task::Context<'_>,
-) -> task::Poll<Guarded<F::Output>> {
-    // A task that panicked is never polled again, so nobody sees its broken state.
+) -> task::Poll<PanicResult<F::Output>> {
+    // Unwind safety: a task that panicked is never polled again, so no code sees its inconsistent state.
     match panic::catch_unwind(panic::AssertUnwindSafe(|| task.poll(context))) {
         Ok(task::Poll::Pending) => task::Poll::Pending,
         Ok(task::Poll::Ready(output)) => task::Poll::Ready(Ok(output)),
--- a/crates/kernel/tests/testsuite/kernel.rs
+++ b/crates/kernel/tests/testsuite/kernel.rs
@@ -3,17 +3,17 @@
 use trefoildyke_kernel as kernel;
 
 #[test]
-fn control_state_lives_on_one_thread() {
+fn control_tasks_run_on_one_thread() {
     let kernel = kernel::Kernel::builder().with_traffic_threads(3).start().unwrap();
-    let (send, receive) = std::sync::mpsc::channel();
+    let (sender, receiver) = std::sync::mpsc::channel();
     for _ in 0..8 {
-        let send = send.clone();
-        kernel
-            .control()
-            .spawn("probe", async move { send.send(thread::current().name().map(str::to_owned)) });
+        let sender = sender.clone();
+        kernel.control().spawn("probe", async move {
+            sender.send(thread::current().name().map(str::to_owned))
+        });
     }
-    drop(send);
-    let names: Vec<_> = receive.iter().collect();
+    drop(sender);
+    let names: Vec<_> = receiver.iter().collect();
     assert_eq!(names, vec![Some("control".to_owned()); 8]);
     assert_eq!(kernel.close(), []);
 }
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_error_in_a_service_stops_the_daemon_and_is_reported() {
+fn an_error_in_a_task_stops_the_daemon_and_a_panic_is_reported() {
     let mut kernel = kernel::Kernel::builder().start().unwrap();
     kernel.control().spawn("first", async { Err("no disk") });
     kernel.wait_for_stop().unwrap();
--- a/crates/kernel/tests/testsuite/main.rs
+++ b/crates/kernel/tests/testsuite/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the kernel, one module a feature.
+//! Tests of the kernel, one module per feature.
 
-mod count;
+mod counter;
 mod kernel;
 mod registry;
 mod scope;
--- a/crates/kernel/tests/testsuite/scope.rs
+++ b/crates/kernel/tests/testsuite/scope.rs
@@ -2,10 +2,10 @@
 
 use trefoildyke_kernel as kernel;
 
-const LIMIT: time::Duration = time::Duration::from_secs(20);
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 #[test]
-fn close_joins_all_that_was_spawned() {
+fn close_joins_all_spawned_tasks() {
     let kernel = kernel::Kernel::builder().start().unwrap();
     let scope = kernel.traffic().child();
     let gate = kernel::Gate::default();
@@ -18,7 +18,7 @@
         });
     }
     assert_eq!(scope.running(), 10);
-    assert!(kernel.block_on(scope.close(LIMIT)));
+    assert!(kernel.block_on(scope.close(TIMEOUT)));
     assert_eq!(scope.running(), 0);
     gate.close();
     assert!(gate.is_drained());
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_task_that_ignores_cancellation_is_told_of() {
+fn close_reports_a_task_that_ignores_cancellation() {
     let kernel = kernel::Kernel::builder().start().unwrap();
     let scope = kernel.traffic().child();
     scope.spawn("stuck", std::future::pending::<Result<(), convert::Infallible>>());
@@ -34,23 +34,24 @@
 }
 
 #[test]
-fn a_panic_in_an_isolated_task_harms_nothing() {
+fn a_panic_in_an_isolated_task_does_not_stop_the_daemon() {
     let kernel = kernel::Kernel::builder().start().unwrap();
     let gate = kernel::Gate::default();
     let pass = gate.enter();
     kernel.traffic().spawn_isolated("connection", async move {
         let _pass = pass;
-        if gate_is_open() {
+        if always_true() {
             panic!("broken");
         }
         Ok::<(), convert::Infallible>(())
     });
     gate.close();
-    kernel.block_on(async { tokio::time::timeout(LIMIT, gate.drained()).await.unwrap() });
+    kernel.block_on(async { tokio::time::timeout(TIMEOUT, gate.drained()).await.unwrap() });
     assert!(!kernel.stopping().is_cancelled());
     assert_eq!(kernel.close(), []);
 }
 
-fn gate_is_open() -> bool {
+/// Hides the value from the compiler, which would warn of unreachable code after an unconditional panic.
+fn always_true() -> bool {
     true
 }
