--- a/crates/types/src/error/context.rs
+++ b/crates/types/src/error/context.rs
@@ -32,7 +32,7 @@
     pub kind: error::ErrorKind,
     /// What happened.
     pub message: String,
-    /// What the user or the operator can do about it.
+    /// What to do about the error.
     pub remedy: String,
     /// Where the error occurred.
     #[serde(default)]
--- a/crates/types/src/event/mod.rs
+++ b/crates/types/src/event/mod.rs
@@ -4,8 +4,8 @@
 
 /// One state change in one process.
 ///
-/// Within an incarnation, `seq` rises without gaps. Across processes, `clock` gives the causal order,
-/// because the wall clocks of different hosts disagree.
+/// Within an incarnation, `seq` rises without gaps. Across processes, the order by `clock` is consistent
+/// with causality; the wall clocks of different hosts disagree.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
--- a/crates/types/src/request/intent.rs
+++ b/crates/types/src/request/intent.rs
@@ -10,7 +10,7 @@
     pub coordinator: id::Incarnation,
     /// The nonce of this write attempt.
     pub nonce: id::Nonce,
-    /// The endpoint that will get the request; other coordinators resume the stream from it.
+    /// The endpoint that will get the request, from which its stream can be resumed.
     pub endpoint: id::EndpointName,
     /// The fingerprint of the request's body; a different body under the same identifier is refused.
     pub fingerprint: u64,
