--- a/crates/cli/src/command/apply.rs
+++ b/crates/cli/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: creates or replaces the resources of files.
+//! `apply`: creates or replaces resources from files.
 
 use std::{collections, fs, io};
 
@@ -7,7 +7,7 @@
 
 use crate::{context::Context, failure::Failure, options, output};
 
-/// Says what happened to one resource.
+/// The result for one resource.
 #[derive(Debug, serde::Serialize)]
 struct Applied {
     resource: String,
@@ -15,7 +15,7 @@
     version: u64,
 }
 
-/// Reads the files and checks their form.
+/// Reads the files and checks their syntax.
 pub(crate) fn check(apply: &options::Apply) -> Result<(), Failure> {
     read(apply).map(|_| ())
 }
@@ -25,13 +25,13 @@
     apply: &options::Apply,
     context: &mut Context<'_>,
 ) -> Result<(), Failure> {
-    let wanted = read(apply)?;
-    let standing = standing(&wanted, context).await?;
+    let desired = read(apply)?;
+    let existing = existing(&desired, context).await?;
     let mut rows = Vec::new();
     let mut puts = Vec::new();
-    for mut resource in wanted {
+    for mut resource in desired {
         let key = resource.key();
-        let current = standing.get(&key);
+        let current = existing.get(&key);
         let result = match current {
             Some(current) if current.spec == resource.spec => "unchanged",
             Some(_) => "replaced",
@@ -40,7 +40,7 @@
         let version = current.map_or(0, |current| current.resource_version);
         rows.push(Applied { resource: key.to_string(), result, version });
         if result != "unchanged" {
-            // A version in the file is what the operator expects to replace.
+            // A version given in the file is the one that the operator expects to replace.
             if resource.resource_version == 0 {
                 resource.resource_version = version;
             }
@@ -64,7 +64,7 @@
 fn table(rows: &[Applied]) -> output::Table {
     let mut table = output::Table::new(&["RESOURCE", "RESULT", "VERSION"]);
     for row in rows {
-        table.row(&[row.resource.clone(), row.result.to_owned(), row.version.to_string()]);
+        table.add_row(&[row.resource.clone(), row.result.to_owned(), row.version.to_string()]);
     }
     table
 }
@@ -87,18 +87,18 @@
     Ok(resources)
 }
 
-type Standing = collections::BTreeMap<resource::ResourceKey, resource::Resource>;
+type Existing = collections::BTreeMap<resource::ResourceKey, resource::Resource>;
 
-/// Returns what stands of the kinds that are wanted.
-async fn standing(
-    wanted: &[resource::Resource],
+/// Returns the existing resources of the kinds in `desired`.
+async fn existing(
+    desired: &[resource::Resource],
     context: &Context<'_>,
-) -> Result<Standing, Failure> {
-    let kinds: collections::BTreeSet<_> = wanted.iter().map(|r| r.spec.kind()).collect();
-    let mut standing = Standing::new();
+) -> Result<Existing, Failure> {
+    let kinds: collections::BTreeSet<_> = desired.iter().map(|r| r.spec.kind()).collect();
+    let mut existing = Existing::new();
     for kind in kinds {
-        let all = context.all(kind).await?;
-        standing.extend(all.into_iter().map(|resource| (resource.key(), resource)));
+        let all = context.list_all(kind).await?;
+        existing.extend(all.into_iter().map(|resource| (resource.key(), resource)));
     }
-    Ok(standing)
+    Ok(existing)
 }
--- a/crates/cli/src/command/delete.rs
+++ b/crates/cli/src/command/delete.rs
@@ -4,7 +4,7 @@
 
 use crate::{command::reference, context::Context, failure::Failure, options, output};
 
-/// Deletes the resources that are named, in one change.
+/// Deletes the named resources in one change.
 pub(crate) async fn execute(
     delete: &options::Delete,
     context: &mut Context<'_>,
@@ -21,7 +21,7 @@
         let mut table = output::Table::new(&["RESOURCE", "RESULT", "VERSION"]);
         for deletion in &set.deletions {
             let version = accepted.version.to_string();
-            table.row(&[deletion.key.to_string(), "deleted".to_owned(), version]);
+            table.add_row(&[deletion.key.to_string(), "deleted".to_owned(), version]);
         }
         table
     })?;
--- a/crates/cli/src/command/explain.rs
+++ b/crates/cli/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: shows from log files how a request came to its end.
+//! `explain`: shows from log files how a request ended and why.
 
 use std::{fs, io, io::BufRead as _};
 
@@ -18,12 +18,12 @@
     for path in files {
         read(path, &mut entries).map_err(|cause| Failure::File { path: path.clone(), cause })?;
     }
-    let story = explain::story(id, &entries);
-    if story.is_empty() {
+    let trace = explain::trace(id, &entries);
+    if trace.is_empty() {
         let detail = "give the files of all hosts; lines may have been dropped under load";
         return Err(Failure::Usage(format!("no line names the request {id}; {detail}")));
     }
-    output::show(format, &story, |story| table(story), out)
+    output::show(format, &trace, |trace| table(trace), out)
 }
 
 fn read(path: &str, entries: &mut Vec<explain::Entry>) -> io::Result<()> {
@@ -33,11 +33,11 @@
     Ok(())
 }
 
-fn table(story: &[explain::Entry]) -> output::Table {
+fn table(trace: &[explain::Entry]) -> output::Table {
     let mut table = output::Table::new(&["TIME MS", "HOST", "EVENT", "DETAIL"]);
-    for entry in story {
+    for entry in trace {
         let time = entry.at_ms.to_string();
-        table.row(&[time, entry.host.clone(), entry.event.clone(), entry.detail.clone()]);
+        table.add_row(&[time, entry.host.clone(), entry.event.clone(), entry.detail.clone()]);
     }
     table
 }
--- a/crates/cli/src/command/key.rs
+++ b/crates/cli/src/command/key.rs
@@ -1,4 +1,4 @@
-//! `key`: makes keys and prints their hashes.
+//! `key`: generates keys and prints their hashes.
 
 use std::io;
 
@@ -8,39 +8,39 @@
 
 use crate::{failure::Failure, options, output};
 
-/// The length of a key that is made, in bytes.
+/// The length of a generated key, in bytes.
 const KEY_BYTES: usize = 32;
 
-/// Holds a key's hash, and the key if it was made here.
+/// The hash of a key, and the key itself if it was generated.
 #[derive(serde::Serialize)]
-struct Made {
+struct KeyHash {
     #[serde(skip_serializing_if = "Option::is_none")]
     key: Option<String>,
     hash: String,
 }
 
-/// Makes a key, or reads one, and shows its hash for `key_hashes` or `token_hashes`.
+/// Generates or reads a key and shows its hash for `key_hashes` or `token_hashes`.
 pub(crate) fn execute(
     options: &options::Key,
     format: output::Format,
     out: &mut dyn io::Write,
 ) -> Result<(), Failure> {
-    let made = if options.stdin {
+    let key_hash = if options.stdin {
         let text = io::read_to_string(io::stdin())
             .map_err(|cause| Failure::File { path: "standard input".to_owned(), cause })?;
         let key = text.trim_end_matches(['\r', '\n']);
         if key.is_empty() {
             return Err(Failure::Usage("standard input holds no key".to_owned()));
         }
-        Made { key: None, hash: hash(key) }
+        KeyHash { key: None, hash: hash(key) }
     } else {
-        let key = make();
-        Made { hash: hash(&key), key: Some(key) }
+        let key = generate_key();
+        KeyHash { hash: hash(&key), key: Some(key) }
     };
-    output::show(format, &made, table, out)
+    output::show(format, &key_hash, table, out)
 }
 
-fn make() -> String {
+fn generate_key() -> String {
     let mut bytes = [0; KEY_BYTES];
     rand::rng().fill_bytes(&mut bytes);
     config::KeyHash::new(bytes).to_string()
@@ -50,8 +50,8 @@
     config::KeyHash::new(sha2::Sha256::digest(key.as_bytes()).into()).to_string()
 }
 
-fn table(made: &Made) -> output::Table {
+fn table(key_hash: &KeyHash) -> output::Table {
     let mut table = output::Table::new(&["KEY", "HASH"]);
-    table.row(&[made.key.clone().unwrap_or_else(|| "-".to_owned()), made.hash.clone()]);
+    table.add_row(&[key_hash.key.clone().unwrap_or_else(|| "-".to_owned()), key_hash.hash.clone()]);
     table
 }
--- a/crates/cli/src/command/mod.rs
+++ b/crates/cli/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! The commands, one module each.
 
 mod apply;
 mod delete;
@@ -16,7 +16,7 @@
 
 use crate::{context::Context, failure::Failure, options};
 
-/// Carries out a command and writes its output.
+/// Executes a command and writes its output.
 pub(crate) async fn execute(
     mut options: options::Options,
     out: &mut dyn io::Write,
@@ -29,12 +29,15 @@
         options::Command::Explain(explain) => explain::execute(&explain, options.output, out),
         options::Command::Report(report) => report::execute(&report, options.output, out),
         options::Command::Apply(apply) if apply.check => apply::check(&apply),
-        command => ask(command, &mut Context::new(&options, out)?).await,
+        command => execute_remote(command, &mut Context::new(&options, out)?).await,
     }
 }
 
-/// Carries out a command that asks daemons.
-async fn ask(command: options::Command, context: &mut Context<'_>) -> Result<(), Failure> {
+/// Executes a command that calls daemons.
+async fn execute_remote(
+    command: options::Command,
+    context: &mut Context<'_>,
+) -> Result<(), Failure> {
     match command {
         options::Command::Apply(apply) => apply::execute(&apply, context).await,
         options::Command::Get(get) => get::execute(&get, context).await,
--- a/crates/cli/src/command/reference.rs
+++ b/crates/cli/src/command/reference.rs
@@ -1,10 +1,10 @@
-//! Resources as the command line names them.
+//! Resource references in arguments.
 
 use trefoildyke_types::resource;
 
 use crate::failure::Failure;
 
-/// Reads `KIND` or `KIND/NAME`.
+/// Parses `KIND` or `KIND/NAME`.
 pub(crate) fn parse(text: &str) -> Result<(resource::Kind, Option<String>), Failure> {
     let (kind, name) = match text.split_once('/') {
         Some((kind, name)) => (kind, Some(name.to_owned())),
@@ -15,7 +15,7 @@
     Ok((kind, name))
 }
 
-/// Reads `KIND/NAME`.
+/// Parses `KIND/NAME`.
 pub(crate) fn parse_key(text: &str) -> Result<resource::ResourceKey, Failure> {
     match parse(text)? {
         (kind, Some(name)) => Ok(resource::ResourceKey { kind, name }),
--- a/crates/cli/src/command/report.rs
+++ b/crates/cli/src/command/report.rs
@@ -4,7 +4,7 @@
 
 use crate::{failure::Failure, options, output, report};
 
-/// Reads the files, shows the figures and draws the picture if one is wanted.
+/// Reads the files, shows the statistics and writes the chart if a path is given for it.
 pub(crate) fn execute(
     options: &options::Report,
     format: output::Format,
@@ -22,12 +22,12 @@
         let remedy = "give the files that gateways' standard output was kept in";
         return Err(Failure::Usage(format!("no line tells of a request that has ended; {remedy}")));
     }
-    let figures = report::figures(&requests);
+    let statistics = report::statistics(&requests);
     if let Some(path) = &options.svg {
-        let svg = report::svg(&figures).map_err(|error| Failure::Usage(error.to_string()))?;
+        let svg = report::svg(&statistics).map_err(|error| Failure::Usage(error.to_string()))?;
         fs::write(path, svg).map_err(|cause| Failure::File { path: path.clone(), cause })?;
     }
-    output::show(format, &figures, table, out)
+    output::show(format, &statistics, table, out)
 }
 
 fn read(path: &str, requests: &mut report::Requests) -> io::Result<()> {
@@ -42,39 +42,43 @@
     Ok(())
 }
 
-fn table(figures: &report::Figures) -> output::Table {
-    let head = [
+fn table(statistics: &report::Statistics) -> output::Table {
+    let header = [
         "BY", "WHICH", "OFFERED", "IN TIME", "LATE", "REFUSED", "AGAIN", "BROKEN", "FAILED",
         "REASONS",
     ];
-    let mut table = output::Table::new(&head);
-    let parts = [
-        ("second", &figures.seconds),
-        ("rank", &figures.ranks),
-        ("size", &figures.sizes),
-        ("speed", &figures.speeds),
+    let mut table = output::Table::new(&header);
+    let groupings = [
+        ("second", &statistics.seconds),
+        ("rank", &statistics.ranks),
+        ("size", &statistics.sizes),
+        ("speed", &statistics.speeds),
     ];
-    for (by, groups) in parts {
+    for (by, groups) in groupings {
         for group in groups {
-            table.row(&row(by, group));
+            table.add_row(&row(by, group));
         }
     }
-    let spreads = [
-        ("first event after its prediction, ms", &figures.first_late),
-        ("first event before its prediction, ms", &figures.first_soon),
-        ("length, hundredths of the expected", &figures.length),
-        ("waited for a place, ms", &figures.waited),
-        ("told to stay away, ms", &figures.told),
-        ("until there was room, ms", &figures.free),
+    let distributions = [
+        ("first event after its prediction, ms", &statistics.first_late),
+        ("first event before its prediction, ms", &statistics.first_soon),
+        ("length, hundredths of the expected", &statistics.length),
+        ("waited for a place, ms", &statistics.waited),
+        ("told to stay away, ms", &statistics.told),
+        ("until there was room, ms", &statistics.free),
     ];
-    for (name, spread) in spreads {
-        let at =
-            [("p10", spread.p10), ("p50", spread.p50), ("p90", spread.p90), ("p99", spread.p99)];
-        let at: Vec<_> = at.iter().map(|(name, value)| format!("{name}={value}")).collect();
-        let mut cells = vec!["spread".to_owned(), name.to_owned(), spread.count.to_string()];
-        cells.resize(head.len() - 1, String::new());
-        cells.push(at.join(" "));
-        table.row(&cells);
+    for (name, quantiles) in distributions {
+        let values = [
+            ("p10", quantiles.p10),
+            ("p50", quantiles.p50),
+            ("p90", quantiles.p90),
+            ("p99", quantiles.p99),
+        ];
+        let values: Vec<_> = values.iter().map(|(name, value)| format!("{name}={value}")).collect();
+        let mut cells = vec!["spread".to_owned(), name.to_owned(), quantiles.count.to_string()];
+        cells.resize(header.len() - 1, String::new());
+        cells.push(values.join(" "));
+        table.add_row(&cells);
     }
     table
 }
--- a/crates/cli/src/command/status.rs
+++ b/crates/cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows the state of each daemon that is named.
+//! `status`: shows the state of each named daemon.
 
 use std::net;
 
@@ -7,7 +7,7 @@
 
 use crate::{context::Context, failure::Failure, output};
 
-/// Holds what one daemon said, or why it said nothing.
+/// The answer of one daemon, or the error of the call.
 #[derive(serde::Serialize)]
 struct Row {
     daemon: net::SocketAddr,
@@ -17,7 +17,7 @@
     error: Option<error::Error>,
 }
 
-/// Asks every daemon that is named; succeeds if one answers.
+/// Asks every named daemon; succeeds if at least one answers.
 pub(crate) async fn execute(context: &mut Context<'_>) -> Result<(), Failure> {
     let mut rows = Vec::new();
     let mut last = None;
@@ -51,18 +51,18 @@
     for row in rows {
         let mut cells = vec![row.daemon.to_string()];
         match &row.overview {
-            Some(seen) => cells.extend([
-                seen.host.to_string(),
-                seen.incarnation.to_string(),
-                seen.version.to_string(),
-                seen.in_force.to_string(),
-                seen.settled.to_string(),
-                seen.live.to_string(),
+            Some(overview) => cells.extend([
+                overview.host.to_string(),
+                overview.incarnation.to_string(),
+                overview.version.to_string(),
+                overview.in_force.to_string(),
+                overview.settled.to_string(),
+                overview.live.to_string(),
             ]),
             None => cells.extend((0..6).map(|_| "-".to_owned())),
         }
         cells.push(row.error.as_ref().map_or_else(String::new, ToString::to_string));
-        table.row(&cells);
+        table.add_row(&cells);
     }
     table
 }
--- a/crates/cli/src/command/stop.rs
+++ b/crates/cli/src/command/stop.rs
@@ -4,33 +4,33 @@
 
 use crate::{context::Context, failure::Failure, options, output};
 
-/// Creates the planned stop, unless it stands, and waits until it has ended everywhere.
+/// Creates the planned stop unless it exists, and waits until it has ended on every live daemon.
 pub(crate) async fn execute(
     stop: &options::Stop,
     context: &mut Context<'_>,
 ) -> Result<(), Failure> {
-    let wanted = planned_stop(stop)?;
-    let key = wanted.key();
+    let desired = planned_stop(stop)?;
+    let key = desired.key();
     let version = match context.client.get(&key).await {
-        Ok(standing) if standing.spec == wanted.spec => standing.resource_version,
+        Ok(existing) if existing.spec == desired.spec => existing.resource_version,
         Ok(_) => {
-            let message = format!("{key} stops something else");
+            let message = format!("{key} stops another target");
             return Err(Failure::Usage(format!("{message}; choose another --name")));
         }
         Err(error) if error.kind == error::ErrorKind::NotFound => {
-            context.client.apply(&[&wanted]).await?.version
+            context.client.apply(&[&desired]).await?.version
         }
         Err(error) => return Err(error.into()),
     };
     if !stop.no_wait {
         context.wait_settled(version, stop.wait_for).await?;
     }
-    let standing = context.client.get(&key).await?;
-    context.show(&standing, |standing| output::resources(std::slice::from_ref(standing)))
+    let existing = context.client.get(&key).await?;
+    context.show(&existing, |existing| output::resources(std::slice::from_ref(existing)))
 }
 
 fn planned_stop(stop: &options::Stop) -> Result<resource::Resource, Failure> {
-    let (word, target, name) = match (&stop.endpoint, &stop.host, &stop.pool) {
+    let (prefix, target, name) = match (&stop.endpoint, &stop.host, &stop.pool) {
         (Some(name), None, None) => {
             ("endpoint", resource::StopTarget::Endpoint(name.as_str().into()), name)
         }
@@ -45,7 +45,7 @@
             return Err(Failure::Usage(message.to_owned()));
         }
     };
-    let name = stop.name.clone().unwrap_or_else(|| format!("{word}-{name}"));
+    let name = stop.name.clone().unwrap_or_else(|| format!("{prefix}-{name}"));
     Ok(resource::Resource {
         name,
         spec: resource::Spec::PlannedStop(resource::PlannedStopSpec { target }),
--- a/crates/cli/src/command/timeline.rs
+++ b/crates/cli/src/command/timeline.rs
@@ -4,7 +4,7 @@
 
 use crate::{context::Context, failure::Failure, options, output, timeline};
 
-/// Reads the events of every daemon that is named; succeeds if one answers.
+/// Reads the events of every named daemon; succeeds if at least one answers.
 pub(crate) async fn execute(
     options: &options::Timeline,
     context: &mut Context<'_>,
@@ -43,7 +43,7 @@
     let mut table =
         output::Table::new(&["CLOCK", "TIME US", "HOST", "SEQ", "EVENT", "REQUEST", "DETAIL"]);
     for event in events {
-        table.row(&[
+        table.add_row(&[
             event.clock.to_string(),
             event.time_us.to_string(),
             event.host.to_string(),
--- a/crates/cli/src/command/watch.rs
+++ b/crates/cli/src/command/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: shows changes as they come.
+//! `watch`: shows changes as they happen.
 
 use std::time;
 
@@ -6,10 +6,10 @@
 
 use crate::{context::Context, failure::Failure, options, output};
 
-/// How long one call waits, in milliseconds.
+/// The longest wait of one call, in milliseconds.
 const WAIT_MS: u64 = 10_000;
 
-/// Shows each change once it is accepted and each rise of the version in force everywhere.
+/// Shows each accepted change, and each increase of the version that is in force or settled everywhere.
 pub(crate) async fn execute(
     watch: &options::Watch,
     context: &mut Context<'_>,
@@ -30,10 +30,10 @@
             return Ok(());
         }
         let watched = context.client.watch(&next).await?;
-        let news = !watched.resources.is_empty()
+        let has_changes = !watched.resources.is_empty()
             || next.in_force.is_some_and(|seen| watched.in_force > seen)
             || next.settled.is_some_and(|seen| watched.settled > seen);
-        if news {
+        if has_changes {
             context.show(&watched, table)?;
             context.out.flush()?;
         }
@@ -52,7 +52,7 @@
         return output::resources(&watched.resources);
     }
     let mut table = output::Table::new(&["VERSION", "IN FORCE", "STOPS ENDED"]);
-    table.row(&[
+    table.add_row(&[
         watched.version.to_string(),
         watched.in_force.to_string(),
         watched.settled.to_string(),
--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command works with.
+//! State shared by the commands: the client and the output.
 
 use std::{env, fs, io, time};
 
@@ -10,13 +10,13 @@
 const DAEMONS: &str = "TREFOILDYKE_DAEMONS";
 const TOKEN: &str = "TREFOILDYKE_TOKEN";
 
-/// How long one watch call waits, in milliseconds.
+/// The longest wait of one watch call, in milliseconds.
 const WATCH_MS: u64 = 10_000;
 
-/// How long to rest after a watch call failed while a change is waited for.
-const REST: time::Duration = time::Duration::from_millis(300);
+/// The delay before a failed watch call is retried.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
-/// Holds the client and the output of one command.
+/// The client and the output of one command.
 pub(crate) struct Context<'a> {
     pub(crate) client: operators::Client,
     pub(crate) daemons: Vec<std::net::SocketAddr>,
@@ -34,7 +34,7 @@
         Ok(Self { client, daemons, format: options.output, out })
     }
 
-    /// Shows a value in the chosen format.
+    /// Writes a value in the chosen format.
     pub(crate) fn show<T: serde::Serialize>(
         &mut self,
         value: &T,
@@ -44,7 +44,7 @@
     }
 
     /// Returns all resources of a kind.
-    pub(crate) async fn all(
+    pub(crate) async fn list_all(
         &self,
         kind: resource::Kind,
     ) -> Result<Vec<resource::Resource>, Failure> {
@@ -60,34 +60,35 @@
         }
     }
 
-    /// Waits until every live daemon has a version in force.
+    /// Waits until a version is in force on every live daemon, for at most `limit` seconds.
     pub(crate) async fn wait_in_force(&self, version: u64, limit: u64) -> Result<(), Failure> {
         let watch = operators::Watch { in_force: Some(version - 1), ..self.watch() };
         self.wait(watch, limit, |watched| watched.in_force >= version).await.map_err(|last| {
-            Failure::Late(format!(
+            Failure::TimedOut(format!(
                 "version {version} was accepted, but not all live daemons reported it within \
                  {limit} s; {last}see `trefoildyke status`"
             ))
         })
     }
 
-    /// Waits until the planned stops up to a version have ended on every live daemon.
+    /// Waits until the planned stops up to a version have ended on every live daemon, for at most
+    /// `limit` seconds.
     pub(crate) async fn wait_settled(&self, version: u64, limit: u64) -> Result<(), Failure> {
         let watch = operators::Watch { settled: Some(version - 1), ..self.watch() };
         self.wait(watch, limit, |watched| watched.settled >= version).await.map_err(|last| {
-            Failure::Late(format!(
-                "requests were still in progress after {limit} s; {last}the stop holds: wait on \
+            Failure::TimedOut(format!(
+                "requests were still in progress after {limit} s; {last}the stop stays in effect: wait again \
                  with `trefoildyke stop` and the same target"
             ))
         })
     }
 
+    /// Returns a watch that ignores configuration changes and ends only on progress.
     const fn watch(&self) -> operators::Watch {
-        // No change wakes these watches, only progress does.
         operators::Watch { after: u64::MAX, in_force: None, settled: None, wait_ms: WATCH_MS }
     }
 
-    /// Watches until `reached` holds; fails with the last error if it does not in time.
+    /// Watches until `reached` returns true; fails with the last error after `limit` seconds.
     async fn wait(
         &self,
         mut watch: operators::Watch,
@@ -107,7 +108,7 @@
                 Ok(_) => last.clear(),
                 Err(error) => {
                     last = format!("last error: {error}; ");
-                    tokio::time::sleep(REST.min(left)).await;
+                    tokio::time::sleep(RETRY_DELAY.min(left)).await;
                 }
             }
         }
@@ -118,8 +119,8 @@
     if !options.daemon.is_empty() {
         return Ok(options.daemon.clone());
     }
-    let named = env::var(DAEMONS).unwrap_or_default();
-    let parts = named.split(',').map(str::trim).filter(|part| !part.is_empty());
+    let value = env::var(DAEMONS).unwrap_or_default();
+    let parts = value.split(',').map(str::trim).filter(|part| !part.is_empty());
     let parse = |part: &str| {
         part.parse().map_err(|_| Failure::Usage(format!("{DAEMONS}: `{part}` is not IP:PORT")))
     };
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,24 +1,24 @@
-//! How the program ends.
+//! Exit codes of the program.
 
 use std::process;
 
 use trefoildyke_types::error;
 
-/// Says how a command ended; the numbers are stable.
+/// The exit code of a command; the numbers are stable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
-    /// All was done.
+    /// The command succeeded.
     Done = 0,
-    /// Something else failed.
+    /// The command failed for a reason that has no code of its own.
     Failed = 1,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage = 2,
-    /// The input was refused; nothing was changed.
+    /// The input was rejected; nothing was changed.
     Invalid = 3,
-    /// Another operator was first; nothing was changed.
+    /// Another operator changed the configuration first; nothing was changed.
     Conflict = 4,
-    /// No daemon, or not the key-value service, answers; nothing was changed.
+    /// No daemon answers, or the key-value service does not; nothing was changed.
     Unavailable = 5,
     /// The change may or may not have been made.
     Unsure = 6,
@@ -26,11 +26,11 @@
     NotFound = 7,
     /// The operator token is missing or wrong.
     Unauthorized = 8,
-    /// The change was accepted, but what was waited for did not come in time.
-    Late = 9,
+    /// The change was accepted, but the wait for its effect timed out.
+    TimedOut = 9,
 }
 
-/// Explains the numbers, for `--help`.
+/// The exit codes as shown by `--help`.
 pub(crate) const HELP: &str = "\
 Exit codes:
   0  done
--- a/crates/cli/src/explain/entry.rs
+++ b/crates/cli/src/explain/entry.rs
@@ -1,9 +1,9 @@
-//! One log line.
+//! Log lines of a gateway.
 
-/// The fields that have a column of their own.
+/// The fields that are not repeated in `detail`.
 const COLUMNS: [&str; 4] = ["at_ms", "host", "event", "id"];
 
-/// Holds one log line of a gateway.
+/// One log line of a gateway.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Entry {
     /// The wall clock of the host, in milliseconds since the Unix epoch.
@@ -21,9 +21,9 @@
 }
 
 impl Entry {
-    /// Reads a line; text before the first brace, such as a collector's prefix, is passed over.
+    /// Parses a line, skipping any text before the first brace, such as the prefix of a log collector.
     ///
-    /// Returns `None` for a line that is no event.
+    /// Returns `None` for a line that is not an event.
     pub fn parse(line: &str) -> Option<Self> {
         let start = line.find('{')?;
         let value: serde_json::Value = serde_json::from_str(line[start..].trim_end()).ok()?;
@@ -33,7 +33,7 @@
         let is_other = |(name, value): &(&String, &serde_json::Value)| {
             !COLUMNS.contains(&name.as_str()) && !value.is_null()
         };
-        let shown = |(name, value): (&String, &serde_json::Value)| match value.as_str() {
+        let format_field = |(name, value): (&String, &serde_json::Value)| match value.as_str() {
             Some(text) => format!("{name}={text}"),
             None => format!("{name}={value}"),
         };
@@ -43,12 +43,13 @@
             event: text("event")?,
             id: text("id"),
             endpoint: text("endpoint"),
-            detail: fields.iter().filter(is_other).map(shown).collect::<Vec<_>>().join(" "),
+            detail: fields.iter().filter(is_other).map(format_field).collect::<Vec<_>>().join(" "),
         })
     }
 
-    /// Says whether the line tells of a change of what its host believes or of its life.
-    pub(super) fn is_belief(&self) -> bool {
+    /// Returns whether the line is a state change of its host: an event, and not a log message, that
+    /// concerns no request.
+    pub(super) fn is_state_change(&self) -> bool {
         self.id.is_none() && self.event != "log"
     }
 }
--- a/crates/cli/src/explain/mod.rs
+++ b/crates/cli/src/explain/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions that touched one request, from the log lines of many hosts.
+//! Traces one request through the log lines of several hosts.
 
 mod entry;
-mod story;
+mod trace;
 
 pub use entry::Entry;
-pub use story::story;
+pub use trace::trace;
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of a command.
 
 use std::io;
 
@@ -6,36 +6,37 @@
 
 use crate::Exit;
 
-/// Says why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Failure {
-    /// A daemon or a check refused.
+    /// A daemon or a local check rejected the command.
     #[error("{0}")]
     Refused(#[from] error::Error),
     /// A file could not be read.
     #[error("{path}: {cause}; correct the path or its permissions")]
     File { path: String, cause: io::Error },
     /// The output could not be written.
-    #[error("the output cannot be written: {0}; check where it goes")]
+    #[error("the output cannot be written: {0}; check its destination")]
     Output(#[from] io::Error),
-    /// A value has no form in the chosen output.
+    /// A value cannot be represented in the chosen output format.
     #[error("the output cannot be formatted: {0}; choose another with -o")]
     Format(String),
-    /// The command line asks for something that does not fit together.
+    /// The command line is invalid or inconsistent.
     #[error("{0}")]
     Usage(String),
-    /// What was waited for did not come in time.
+    /// A wait ran into its time limit.
     #[error("{0}")]
-    Late(String),
+    TimedOut(String),
 }
 
 impl Failure {
+    /// Returns the exit code for this failure.
     pub(crate) fn exit(&self) -> Exit {
         match self {
             Self::Refused(error) => error.kind.into(),
             Self::File { .. } => Exit::Invalid,
             Self::Usage(_) => Exit::Usage,
-            Self::Late(_) => Exit::Late,
+            Self::TimedOut(_) => Exit::TimedOut,
             Self::Output(_) | Self::Format(_) => Exit::Failed,
         }
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, as a library that the program `trefoildyke` calls.
+//! The operators' command line, as a library that the binary `trefoildyke` calls.
 
 mod command;
 mod context;
@@ -19,7 +19,7 @@
 
 use crate::{failure::Failure, options::Options};
 
-/// Runs one command and returns how it ended; errors go to the standard error stream.
+/// Runs one command and returns its exit code; errors go to the standard error stream.
 pub fn run(arguments: &[String]) -> Exit {
     match parse(arguments) {
         Ok(Parsed::Help(text)) => {
@@ -63,10 +63,10 @@
         }
     };
     let mut out = std::io::stdout().lock();
-    let end = runtime.block_on(command::execute(options, &mut out));
-    match end.and_then(|()| out.flush().map_err(Failure::from)) {
+    let result = runtime.block_on(command::execute(options, &mut out));
+    match result.and_then(|()| out.flush().map_err(Failure::from)) {
         Ok(()) => Exit::Done,
-        // Whoever reads the output has seen enough.
+        // The reader closed the pipe because it needs no more output.
         Err(Failure::Output(error)) if error.kind() == std::io::ErrorKind::BrokenPipe => Exit::Done,
         Err(failure) => {
             eprintln!("error: {failure}");
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line's options.
+//! Options of the command line.
 
 use std::net;
 
@@ -170,7 +170,7 @@
 }
 
 impl Options {
-    /// Returns the help that was asked for.
+    /// Returns the help text of the named command, or of the program if no command is named.
     pub(crate) fn help_text(&self) -> String {
         match self.command_name() {
             Some(name) => {
--- a/crates/cli/src/output/format.rs
+++ b/crates/cli/src/output/format.rs
@@ -1,16 +1,16 @@
-//! The formats of the output.
+//! Output formats.
 
 use std::str;
 
-/// Names a format of the output.
+/// An output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Format {
-    /// Columns for a person.
+    /// Human-readable columns.
     #[default]
     Table,
-    /// JSON for a program.
+    /// JSON for programs.
     Json,
-    /// YAML, as `apply` takes it.
+    /// YAML that `apply` accepts.
     Yaml,
 }
 
--- a/crates/cli/src/output/mod.rs
+++ b/crates/cli/src/output/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) use format::Format;
 pub(crate) use table::{Table, resources};
 
-/// Shows a value in the chosen format.
+/// Writes a value in the chosen format.
 pub(crate) fn show<T: serde::Serialize>(
     format: Format,
     value: &T,
--- a/crates/cli/src/report/line.rs
+++ b/crates/cli/src/report/line.rs
@@ -1,8 +1,8 @@
-//! The log lines that a report is made of.
+//! Log lines that a report reads.
 
 use std::borrow;
 
-/// Holds what a report needs of one log line.
+/// The fields that a report needs of one log line.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Line<'a> {
@@ -12,64 +12,64 @@
     Ended(#[serde(borrow)] Box<Ended<'a>>),
 }
 
-/// Says where a request was sent.
+/// The send of a request to an endpoint.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 pub struct Sent<'a> {
-    /// The host's wall clock in milliseconds.
+    /// The wall clock of the host, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The request.
+    /// The identifier of the request.
     #[serde(borrow)]
     pub id: borrow::Cow<'a, str>,
-    /// How long it waited for the place, in milliseconds.
+    /// The time in the queue before the send, in milliseconds.
     pub waited_ms: u64,
-    /// The predicted time from then on to the first event, in milliseconds.
+    /// The predicted time from the send to the first event, in milliseconds.
     pub first_ms: u64,
 }
 
-/// Says how a request ended.
+/// The end of a request.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 pub struct Ended<'a> {
-    /// The host's wall clock in milliseconds.
+    /// The wall clock of the host, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The request.
+    /// The identifier of the request.
     #[serde(borrow)]
     pub id: borrow::Cow<'a, str>,
-    /// Its route.
+    /// The route of the request.
     #[serde(borrow)]
     pub route: borrow::Cow<'a, str>,
-    /// Its rank, if it was known.
+    /// The rank of the request, if known.
     pub rank: Option<u8>,
-    /// Prompt tokens.
+    /// The number of prompt tokens.
     pub prompt: u32,
-    /// Expected tokens of the answer.
+    /// The expected number of tokens of the answer.
     pub expected: u32,
-    /// Whether its caller was refused before.
+    /// Whether the request is a retry after a refusal.
     #[serde(default)]
     pub returning: bool,
-    /// Within how many milliseconds its first event is of full use; 0 if that is not known.
+    /// The objective for the time to the first event, in milliseconds; 0 if unknown.
     #[serde(default)]
     pub objective_ms: u64,
-    /// How it ended.
+    /// The outcome of the request.
     #[serde(borrow)]
     pub outcome: borrow::Cow<'a, str>,
-    /// Where it was served.
+    /// The endpoint that served the request.
     #[serde(borrow)]
     pub endpoint: Option<borrow::Cow<'a, str>>,
-    /// How long it took, in milliseconds.
+    /// The total duration, in milliseconds.
     pub total_ms: u64,
-    /// How long it took to the first byte, in milliseconds.
+    /// The time to the first byte, in milliseconds.
     pub first_ms: Option<u64>,
-    /// After how many milliseconds the caller was asked to come back.
+    /// The retry delay sent to the caller, in milliseconds.
     pub retry_ms: Option<u64>,
-    /// Events that were passed on.
+    /// The number of events forwarded to the caller.
     #[serde(default)]
     pub events: u32,
 }
 
 impl<'a> Line<'a> {
-    /// Reads a line; text before the first brace, such as a collector's prefix, is passed over.
+    /// Parses a line, skipping any text before the first brace, such as the prefix of a log collector.
     ///
-    /// Returns `None` for a line that tells nothing of a request's place or end.
+    /// Returns `None` for a line that is neither a send nor an end of a request.
     pub fn parse(line: &'a str) -> Option<Self> {
         let start = line.find('{')?;
         serde_json::from_str(line[start..].trim_end()).ok()
--- a/crates/cli/src/report/mod.rs
+++ b/crates/cli/src/report/mod.rs
@@ -1,15 +1,15 @@
-//! Where goodput is lost, from the log lines of many hosts.
+//! Statistics of lost goodput, from the log lines of several hosts.
 
-mod figures;
 mod line;
 mod plot;
 mod quantiles;
 mod request;
+mod statistics;
 mod tally;
 
-pub use figures::{Figures, Group, figures};
 pub use line::Line;
 pub use plot::svg;
 pub use quantiles::Quantiles;
 pub use request::{Request, Requests};
+pub use statistics::{Group, Statistics, statistics};
 pub use tally::Tally;
--- a/crates/cli/src/report/plot.rs
+++ b/crates/cli/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! What became of requests by second, as a picture.
+//! A stacked bar chart of requests by second and result.
 
 use plotters::{
     prelude,
@@ -10,66 +10,69 @@
 
 const SIZE: (u32, u32) = (960, 420);
 const MARGIN: u32 = 12;
-const AXIS: u32 = 44;
+const AXIS_SIZE: u32 = 44;
 
-/// One part of the bars.
-struct Part {
+/// One series of the stacked bars.
+struct Series {
     name: &'static str,
     color: RGBColor,
-    of: fn(&report::Tally) -> usize,
+    count: fn(&report::Tally) -> usize,
 }
 
-/// The parts from below: what was of use first.
-const PARTS: [Part; 5] = [
-    Part { name: "in time", color: RGBColor(46, 125, 50), of: |tally| tally.in_time },
-    Part { name: "late", color: RGBColor(249, 168, 37), of: |tally| tally.late },
-    Part { name: "refused", color: RGBColor(144, 164, 174), of: |tally| tally.refused },
-    Part { name: "broken", color: RGBColor(198, 40, 40), of: |tally| tally.broken },
-    Part { name: "failed", color: RGBColor(106, 27, 154), of: |tally| tally.failed },
+/// The series from bottom to top, the useful results first.
+const SERIES: [Series; 5] = [
+    Series { name: "in time", color: RGBColor(46, 125, 50), count: |tally| tally.in_time },
+    Series { name: "late", color: RGBColor(249, 168, 37), count: |tally| tally.late },
+    Series { name: "refused", color: RGBColor(144, 164, 174), count: |tally| tally.refused },
+    Series { name: "broken", color: RGBColor(198, 40, 40), count: |tally| tally.broken },
+    Series { name: "failed", color: RGBColor(106, 27, 154), count: |tally| tally.failed },
 ];
 
-/// Says that a picture could not be drawn.
+/// An error while drawing the chart.
 #[derive(Debug, thiserror::Error)]
-#[error("the picture cannot be drawn: {0}")]
+#[error("the chart cannot be drawn: {0}")]
 pub struct DrawError(String);
 
-/// Draws what became of the requests of each second.
+/// Returns a chart of the requests of each second by result, as SVG.
 ///
 /// # Errors
 ///
-/// Fails if there are no requests, or the picture cannot be drawn.
-pub fn svg(figures: &report::Figures) -> Result<String, DrawError> {
+/// Fails if there are no requests or if the chart cannot be drawn.
+pub fn svg(statistics: &report::Statistics) -> Result<String, DrawError> {
     let mut svg = String::new();
-    draw(figures, &mut svg).map_err(|error| DrawError(error.to_string()))?;
+    draw(statistics, &mut svg).map_err(|error| DrawError(error.to_string()))?;
     Ok(svg)
 }
 
-fn draw(figures: &report::Figures, svg: &mut String) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(
+    statistics: &report::Statistics,
+    svg: &mut String,
+) -> Result<(), Box<dyn std::error::Error>> {
     let root = prelude::SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&prelude::WHITE)?;
-    let most = figures.seconds.iter().map(|group| group.tally.offered).max();
-    let most = most.ok_or("there are no requests")?;
-    let last = figures.seconds.len();
+    let max_requests = statistics.seconds.iter().map(|group| group.tally.offered).max();
+    let max_requests = max_requests.ok_or("there are no requests")?;
+    let bar_count = statistics.seconds.len();
     let mut chart = prelude::ChartBuilder::on(&root)
         .margin(MARGIN)
-        .x_label_area_size(AXIS)
-        .y_label_area_size(AXIS)
-        .build_cartesian_2d(0..last, 0..most)?;
+        .x_label_area_size(AXIS_SIZE)
+        .y_label_area_size(AXIS_SIZE)
+        .build_cartesian_2d(0..bar_count, 0..max_requests)?;
     chart.configure_mesh().x_desc("second").y_desc("requests").draw()?;
-    let mut bottoms = vec![0; last];
-    for part in &PARTS {
-        let mut bars = Vec::with_capacity(last);
-        for (second, group) in figures.seconds.iter().enumerate() {
-            let top = bottoms[second] + (part.of)(&group.tally);
+    let mut bottoms = vec![0; bar_count];
+    for series in &SERIES {
+        let mut bars = Vec::with_capacity(bar_count);
+        for (second, group) in statistics.seconds.iter().enumerate() {
+            let top = bottoms[second] + (series.count)(&group.tally);
             let corners = [(second, bottoms[second]), (second + 1, top)];
-            bars.push(prelude::Rectangle::new(corners, part.color.filled()));
+            bars.push(prelude::Rectangle::new(corners, series.color.filled()));
             bottoms[second] = top;
         }
-        let color = part.color;
+        let color = series.color;
         let swatch = move |(x, y): (i32, i32)| {
             prelude::Rectangle::new([(x, y - 5), (x + 12, y + 5)], color.filled())
         };
-        chart.draw_series(bars)?.label(part.name).legend(swatch);
+        chart.draw_series(bars)?.label(series.name).legend(swatch);
     }
     chart
         .configure_series_labels()
--- a/crates/cli/src/report/tally.rs
+++ b/crates/cli/src/report/tally.rs
@@ -1,27 +1,27 @@
-//! Counting what became of requests.
+//! Counts of requests by result.
 
 use std::collections;
 
 use crate::report::request;
 
-/// Counts what became of some requests.
+/// Counts of requests by result.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Tally {
-    /// All of them.
+    /// All requests.
     pub offered: usize,
     /// Answered within their objective.
     pub in_time: usize,
-    /// Answered after it, or on the second try.
+    /// Answered after their objective, or only on a retry.
     pub late: usize,
-    /// Refused with a time to come back.
+    /// Refused with a retry delay.
     pub refused: usize,
-    /// Those of them that had been refused before.
+    /// Refused requests that were retries after a refusal.
     pub refused_again: usize,
-    /// Ended in the middle of their answer, or left by their callers.
+    /// Ended in the middle of the answer, or abandoned by the caller.
     pub broken: usize,
     /// Answered with a failure.
     pub failed: usize,
-    /// By outcome, those that were refused, broken or failed.
+    /// Refused, broken and failed requests by outcome.
     pub reasons: collections::BTreeMap<String, usize>,
 }
 
@@ -29,17 +29,17 @@
     /// Counts a request.
     pub fn count(&mut self, request: &request::Request) {
         self.offered += 1;
-        match request.fate {
-            request::Fate::InTime => self.in_time += 1,
-            request::Fate::Late => self.late += 1,
-            request::Fate::Refused => {
+        match request.status {
+            request::Status::InTime => self.in_time += 1,
+            request::Status::Late => self.late += 1,
+            request::Status::Refused => {
                 self.refused += 1;
                 self.refused_again += usize::from(request.returning);
             }
-            request::Fate::Broken => self.broken += 1,
-            request::Fate::Failed => self.failed += 1,
+            request::Status::Broken => self.broken += 1,
+            request::Status::Failed => self.failed += 1,
         }
-        if !matches!(request.fate, request::Fate::InTime | request::Fate::Late) {
+        if !matches!(request.status, request::Status::InTime | request::Status::Late) {
             *self.reasons.entry(request.outcome.clone()).or_default() += 1;
         }
     }
--- a/crates/cli/tests/testsuite/change.rs
+++ b/crates/cli/tests/testsuite/change.rs
@@ -1,4 +1,4 @@
-//! Commands that change something.
+//! Commands that change resources.
 
 use testbed::switch;
 use trefoildyke_daemon::operators;
@@ -7,32 +7,32 @@
 use crate::{TIER, run, run_on, server};
 
 #[tokio::test]
-async fn a_file_is_applied_as_one_change_and_again_without_one() {
+async fn apply_makes_one_change_and_none_when_repeated() {
     let server = server().await;
     let two = format!("{TIER}\n---\n{{kind: Tier, name: low, spec: {{rank: 1, deadline_ms: 9}}}}");
-    let ended = run_on(&server, &["apply", "-f", "-"], &two).await;
-    assert_eq!(ended.code, 0, "{ended:?}");
+    let finished = run_on(&server, &["apply", "-f", "-"], &two).await;
+    assert_eq!(finished.code, 0, "{finished:?}");
     assert_eq!(server.handle.snapshot().version(), 1);
     let again = run_on(&server, &["apply", "-f", "-"], &two).await;
     assert_eq!(again.code, 0, "{again:?}");
     assert_eq!(server.handle.snapshot().version(), 1);
     let changed = two.replace("deadline_ms: 9", "deadline_ms: 8");
     let third = run_on(&server, &["apply", "-f", "-"], &changed).await;
-    insta::assert_snapshot!([ended.out, again.out, third.out].join("\n"));
+    insta::assert_snapshot!([finished.stdout, again.stdout, third.stdout].join("\n"));
 }
 
 #[tokio::test]
-async fn what_get_shows_can_be_applied_again() {
+async fn output_of_get_can_be_applied() {
     let server = server().await;
     run_on(&server, &["apply", "-f", "-"], TIER).await;
     let shown = run_on(&server, &["-o", "yaml", "get"], "").await;
-    let ended = run_on(&server, &["apply", "-f", "-"], &shown.out).await;
-    assert_eq!(ended.code, 0, "{ended:?}");
-    assert!(ended.out.contains("unchanged"), "{ended:?}");
+    let finished = run_on(&server, &["apply", "-f", "-"], &shown.stdout).await;
+    assert_eq!(finished.code, 0, "{finished:?}");
+    assert!(finished.stdout.contains("unchanged"), "{finished:?}");
 }
 
 #[tokio::test]
-async fn a_wait_ends_once_the_change_is_in_force_and_not_before() {
+async fn apply_with_wait_ends_only_when_the_change_is_in_force() {
     let server = server().await;
     let arguments = ["apply", "-f", "-", "--wait", "--wait-for", "1"];
     let late = run_on(&server, &arguments, TIER).await;
@@ -43,27 +43,27 @@
         let progress = operators::Progress { in_force: 1, settled: 1, live: 3 };
         server.progress.send_replace(progress);
     };
-    let (ended, ()) = tokio::join!(wait, report);
-    assert_eq!(ended.code, 0, "{ended:?}");
+    let (finished, ()) = tokio::join!(wait, report);
+    assert_eq!(finished.code, 0, "{finished:?}");
 }
 
 #[tokio::test]
-async fn a_stop_waits_until_it_has_ended_everywhere() {
+async fn stop_waits_until_it_is_settled() {
     let server = server().await;
     let progress = operators::Progress { in_force: 1, settled: 0, live: 3 };
     server.progress.send_replace(progress);
     let late = run_on(&server, &["stop", "--host", "h1", "--wait-for", "1"], "").await;
     assert_eq!(late.code, 9, "{late:?}");
     server.progress.send_replace(operators::Progress { settled: 1, ..progress });
-    let ended = run_on(&server, &["stop", "--host", "h1", "--wait-for", "60"], "").await;
-    assert_eq!(ended.code, 0, "{ended:?}");
-    assert!(ended.out.contains("Stopped"), "{ended:?}");
+    let finished = run_on(&server, &["stop", "--host", "h1", "--wait-for", "60"], "").await;
+    assert_eq!(finished.code, 0, "{finished:?}");
+    assert!(finished.stdout.contains("Stopped"), "{finished:?}");
     let stop = server.handle.snapshot();
     assert!(stop.resource(resource::Kind::PlannedStop, "host-h1").is_some());
 }
 
 #[tokio::test]
-async fn resources_that_name_each_other_are_deleted_together() {
+async fn resources_that_refer_to_each_other_are_deleted_together() {
     let server = server().await;
     let pool = "{kind: EndpointPool, name: p, spec: {protocol: {service: {}}}}\n---\n\
         {kind: Endpoint, name: w, spec: {pool: p, host: h, zone: z, address: '127.0.0.1:9'}}";
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_and_an_unsure_change_are_told_apart() {
+async fn unavailable_store_exits_with_5() {
     let server = server().await;
     server.kv.set_mode(switch::Mode::new(switch::ModeKind::Down));
     let refused = run_on(&server, &["apply", "-f", "-"], TIER).await;
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn a_key_has_the_hash_that_sha256_gives() {
-    let ended = run(&["-o", "json", "key", "--stdin"], &[], "abc\n");
-    assert_eq!(ended.code, 0, "{ended:?}");
+fn key_prints_the_sha256_hash() {
+    let finished = run(&["-o", "json", "key", "--stdin"], &[], "abc\n");
+    assert_eq!(finished.code, 0, "{finished:?}");
     let hash = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
-    assert!(ended.out.contains(hash), "{ended:?}");
+    assert!(finished.stdout.contains(hash), "{finished:?}");
     let made = run(&["-o", "json", "key"], &[], "");
-    let made: serde_json::Value = serde_json::from_str(&made.out).unwrap();
+    let made: serde_json::Value = serde_json::from_str(&made.stdout).unwrap();
     let again = run(&["-o", "json", "key", "--stdin"], &[], made["key"].as_str().unwrap());
-    assert!(again.out.contains(made["hash"].as_str().unwrap()));
+    assert!(again.stdout.contains(made["hash"].as_str().unwrap()));
 }
--- a/crates/cli/tests/testsuite/explain.rs
+++ b/crates/cli/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, over the logs of several hosts.
+//! The `explain` command on the logs of several hosts.
 
 use crate::run;
 
@@ -26,20 +26,20 @@
 }
 
 #[test]
-fn a_requests_lines_come_in_order_with_what_its_host_believed() {
+fn explain_shows_the_request_and_the_state_changes_of_its_host() {
     let (directory, [first, second]) = files();
-    let ended = run(&["explain", "r1", &first, &second], &[], "");
-    assert_eq!(ended.code, 0, "{}", ended.err);
-    insta::assert_snapshot!(ended.out);
+    let finished = run(&["explain", "r1", &first, &second], &[], "");
+    assert_eq!(finished.code, 0, "{}", finished.stderr);
+    insta::assert_snapshot!(finished.stdout);
     let unknown = run(&["explain", "r9", &first], &[], "");
     assert_eq!(unknown.code, 2);
-    assert!(unknown.err.contains("no line names the request r9"), "{}", unknown.err);
+    assert!(unknown.stderr.contains("no line names the request r9"), "{}", unknown.stderr);
     std::fs::remove_dir_all(directory).unwrap();
 }
 
 #[test]
-fn an_id_without_files_is_an_error_that_says_what_is_missing() {
-    let ended = run(&["explain", "r1"], &[], "");
-    assert_eq!(ended.code, 2);
-    assert!(ended.err.contains("log files"), "{}", ended.err);
+fn explain_without_log_files_names_what_is_missing() {
+    let finished = run(&["explain", "r1"], &[], "");
+    assert_eq!(finished.code, 2);
+    assert!(finished.stderr.contains("log files"), "{}", finished.stderr);
 }
--- a/crates/cli/tests/testsuite/main.rs
+++ b/crates/cli/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the command line, run as the program against an operators' face.
+//! Tests that run the command line program against an operator API server.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests unwrap as tests do")]
 
@@ -13,16 +13,16 @@
 
 use testbed::operators::{Server, TOKEN};
 
-/// Holds how the program ended and what it wrote.
+/// The exit code and the output of the program.
 #[derive(Debug)]
-struct Ended {
+struct Finished {
     code: i32,
-    out: String,
-    err: String,
+    stdout: String,
+    stderr: String,
 }
 
-/// Runs the program to its end.
-fn run(arguments: &[&str], environment: &[(&str, &str)], input: &str) -> Ended {
+/// Runs the program until it exits.
+fn run(arguments: &[&str], environment: &[(&str, &str)], input: &str) -> Finished {
     let mut child = process::Command::new(env!("CARGO_BIN_EXE_trefoildyke"))
         .args(arguments)
         .env_remove("TREFOILDYKE_DAEMONS")
@@ -33,18 +33,18 @@
         .stderr(process::Stdio::piped())
         .spawn()
         .unwrap();
-    // A program that reads no input may have ended already.
+    // The write fails if the program reads no input and has already exited.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     let output = child.wait_with_output().unwrap();
-    Ended {
+    Finished {
         code: output.status.code().unwrap(),
-        out: String::from_utf8(output.stdout).unwrap(),
-        err: String::from_utf8(output.stderr).unwrap(),
+        stdout: String::from_utf8(output.stdout).unwrap(),
+        stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
 /// Runs the program against one server.
-async fn run_on(server: &Server, arguments: &[&str], input: &str) -> Ended {
+async fn run_on(server: &Server, arguments: &[&str], input: &str) -> Finished {
     let daemons = server.address().to_string();
     let arguments: Vec<_> = arguments.iter().map(|&argument| argument.to_owned()).collect();
     let input = input.to_owned();
@@ -56,7 +56,7 @@
     run.await.unwrap()
 }
 
-/// Starts a server.
+/// Starts an operator API server.
 async fn server() -> Server {
     Server::new(trefoildyke_daemon::operators::Settings::default()).await.unwrap()
 }
--- a/crates/cli/tests/testsuite/timeline.rs
+++ b/crates/cli/tests/testsuite/timeline.rs
@@ -1,4 +1,4 @@
-//! Merging the events of many daemons.
+//! Merging of the events of several daemons.
 
 use trefoildyke_cli::timeline;
 use trefoildyke_types::{event, id};
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn cause_comes_before_effect_whatever_the_wall_clocks_say() {
-    // Host 2 lags by far: it answers (clock 3) what host 1 asked (clock 2).
+fn merge_keeps_causal_order_despite_wall_clock_skew() {
+    // The wall clock of host 2 is far behind: its event at clock 3 answers the event of host 1 at clock 2.
     let events = vec![
         event(2, 1, 1, 10),
         event(2, 2, 3, 20),
