--- a/crates/cli/src/command/report.rs
+++ b/crates/cli/src/command/report.rs
@@ -20,7 +20,7 @@
     let requests = requests.finish();
     if requests.is_empty() {
         let remedy = "give the files that gateways' standard output was kept in";
-        return Err(Failure::Usage(format!("no line tells of a request that has ended; {remedy}")));
+        return Err(Failure::Usage(format!("no line reports the end of a request; {remedy}")));
     }
     let statistics = report::statistics(&requests);
     if let Some(path) = &options.svg {
--- a/crates/cli/src/report/statistics.rs
+++ b/crates/cli/src/report/statistics.rs
@@ -23,7 +23,7 @@
     pub length: report::Quantiles,
     /// How long requests waited in the queue before they were sent, in milliseconds.
     pub waited: report::Quantiles,
-    /// The retry delay sent to refused callers, in milliseconds.
+    /// The retry delay sent to callers, in milliseconds.
     pub told: report::Quantiles,
     /// The time from a refusal until a request of the same rank was sent without queueing, in milliseconds.
     pub free: report::Quantiles,
--- a/crates/cli/tests/testsuite/report.rs
+++ b/crates/cli/tests/testsuite/report.rs
@@ -77,7 +77,7 @@
     std::fs::write(&log, "nothing\n").unwrap();
     let empty = run(&["report", &log], &[], "");
     assert_eq!(empty.code, 2);
-    assert!(empty.stderr.contains("no line tells of a request"), "{}", empty.stderr);
+    assert!(empty.stderr.contains("no line reports the end of a request"), "{}", empty.stderr);
     std::fs::remove_dir_all(directory).unwrap();
 }
 
--- a/crates/trefoildyked/tests/testsuite/binary.rs
+++ b/crates/trefoildyked/tests/testsuite/binary.rs
@@ -1,3 +1,5 @@
+//! The command line options of the daemon.
+
 use std::process;
 
 fn output(arguments: &[&str]) -> process::Output {
@@ -5,7 +7,7 @@
 }
 
 #[test]
-fn the_printed_defaults_are_a_settings_file_but_for_what_is_required() {
+fn check_config_prints_the_default_settings() {
     let output = output(&["--check-config"]);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
@@ -15,7 +17,7 @@
 }
 
 #[test]
-fn a_missing_file_is_an_error_with_the_remedy() {
+fn missing_settings_file_is_an_error_with_a_remedy() {
     let output = output(&["--config", "/nonexistent.yaml"]);
     assert!(!output.status.success());
     let text = String::from_utf8(output.stderr).unwrap();
--- a/crates/trefoildyked/tests/testsuite/configuration/command_line.rs
+++ b/crates/trefoildyked/tests/testsuite/configuration/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line against real daemons.
+//! The command line with real daemons.
 
 use std::{io::Write as _, path, process};
 
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_operator_declares_watches_stops_and_reads_the_time_line() {
+async fn operator_applies_stops_deletes_and_reads_the_timeline() {
     let cluster = harness::Cluster::start("command_line", harness::Layout::default()).await;
     let tier = "{kind: Tier, name: late, spec: {rank: 7, deadline_ms: 5}}";
     let arguments = ["apply", "-f", "-", "--wait"];
@@ -49,11 +49,11 @@
     let (code, out) = run(&cluster, &["status"], "").await;
     assert_eq!((code, out.lines().count()), (0, 4), "{out}");
     let client = harness::Caller::default();
-    let spec = harness::caller::model(4);
-    let outcome = client.ask(cluster.daemons[1].callers, &spec).await;
-    let harness::Outcome::Whole(id, _) = outcome else { panic!("{outcome:?}") };
+    let spec = harness::caller::model_request(4);
+    let outcome = client.call(cluster.daemons[1].callers, &spec).await;
+    let harness::Outcome::Complete(id, _) = outcome else { panic!("{outcome:?}") };
     let id = id.to_string();
-    harness::until("the time line has the request from its start to its end", async || {
+    harness::wait_until("the timeline has the request from start to end", async || {
         let (code, out) = run(&cluster, &["timeline", "--request", &id], "").await;
         assert_eq!(code, 0, "{out}");
         let (accepted, finished) = (out.find(" accepted ")?, out.find(" finished ")?);
--- a/crates/trefoildyked/tests/testsuite/configuration/mod.rs
+++ b/crates/trefoildyked/tests/testsuite/configuration/mod.rs
@@ -1,14 +1,14 @@
-//! Changes of the configuration over whole systems of processes.
+//! Configuration changes in systems of processes.
 
 mod command_line;
 mod outage;
+mod propagation;
 mod race;
-mod spread;
 
 use trefoildyke_types::resource;
 use trefoildyke_wire::operators;
 
-/// Returns a tier over the version that stands.
+/// Returns a tier that replaces the given version.
 fn tier(name: &str, rank: u8, deadline_ms: u64, resource_version: u64) -> resource::Resource {
     resource::Resource {
         name: name.to_owned(),
@@ -19,12 +19,12 @@
     }
 }
 
-/// Returns the deadline of a tier as one daemon has it, with the version; `None` if it has none.
-async fn standing(operator: &operators::Client, name: &str) -> Option<(u64, u64)> {
+/// Returns the deadline and the version of a tier at one daemon, or `None` if the daemon does not have it.
+async fn current_tier(operator: &operators::Client, name: &str) -> Option<(u64, u64)> {
     let key = resource::ResourceKey { kind: resource::Kind::Tier, name: name.to_owned() };
-    let standing = operator.get(&key).await.ok()?;
-    match standing.spec {
-        resource::Spec::Tier(tier) => Some((tier.deadline_ms, standing.resource_version)),
+    let current = operator.get(&key).await.ok()?;
+    match current.spec {
+        resource::Spec::Tier(tier) => Some((tier.deadline_ms, current.resource_version)),
         _ => None,
     }
 }
--- a/crates/trefoildyked/tests/testsuite/configuration/spread.rs
+++ b/crates/trefoildyked/tests/testsuite/configuration/propagation.rs
@@ -1,17 +1,18 @@
-//! How fast a change is in force everywhere, and that nobody says so too early.
+//! The time until a change is in force on every daemon, and that no daemon reports it too early.
 
 use std::time;
 
 use crate::{configuration::tier, harness};
 
-/// The bound that the users set.
-const BOUND: time::Duration = time::Duration::from_secs(9);
+/// The required bound on the time until a change is in force.
+const MAX_DELAY: time::Duration = time::Duration::from_secs(9);
 
-/// How long to look whether a change is falsely said to be in force.
-const LOOK: time::Duration = time::Duration::from_secs(2);
+/// How long to check that a change is not reported as in force too early.
+const CHECK_DURATION: time::Duration = time::Duration::from_secs(2);
 
-/// Applies changes at different daemons and measures when the last daemon has each.
-async fn spread(name: &str, daemons: usize, rounds: usize) -> Vec<[time::Duration; 2]> {
+/// Applies changes at different daemons; returns for each the time until the last daemon has it and the time
+/// until it is reported as in force.
+async fn measure(name: &str, daemons: usize, rounds: usize) -> Vec<[time::Duration; 2]> {
     let layout = harness::Layout { daemons, engines: 1, ..harness::Layout::default() };
     let cluster = harness::Cluster::start(name, layout).await;
     let mut version = cluster.apply(&[tier("t", 9, 1, 0)]).await;
@@ -23,13 +24,13 @@
         let start = time::Instant::now();
         for daemon in 0..daemons {
             let operator = cluster.operator(daemon);
-            harness::until("a daemon has the version", async || {
+            harness::wait_until("a daemon has the version", async || {
                 (operator.overview().await.ok()?.version >= version).then_some(())
             })
             .await;
         }
         let everywhere = start.elapsed();
-        harness::until("the status says so", async || {
+        harness::wait_until("the writer reports the version as in force", async || {
             (writer.overview().await.ok()?.in_force >= version).then_some(())
         })
         .await;
@@ -38,53 +39,53 @@
     times
 }
 
-/// Prints the times and checks the bound.
+/// Prints the median and the worst times and checks the bound.
 fn check(daemons: usize, times: &[[time::Duration; 2]]) {
-    for (index, what) in ["on every daemon", "told as in force"].iter().enumerate() {
+    for (index, what) in ["on every daemon", "reported as in force"].iter().enumerate() {
         let mut sorted: Vec<_> = times.iter().map(|both| both[index]).collect();
         sorted.sort();
         let (median, worst) = (sorted[sorted.len() / 2], sorted[sorted.len() - 1]);
         println!("{daemons} daemons, {what}: median {median:?}, worst {worst:?}");
-        assert!(worst < BOUND);
+        assert!(worst < MAX_DELAY);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_is_in_force_on_3_daemons_within_the_bound() {
-    check(3, &spread("configuration_spread_3", 3, 12).await);
+async fn change_is_in_force_on_3_daemons_within_the_bound() {
+    check(3, &measure("propagation_3", 3, 12).await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_is_in_force_on_8_daemons_within_the_bound() {
-    check(8, &spread("configuration_spread_8", 8, 12).await);
+async fn change_is_in_force_on_8_daemons_within_the_bound() {
+    check(8, &measure("propagation_8", 8, 12).await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_is_not_in_force_while_a_live_daemon_lags() {
+async fn change_is_not_in_force_while_a_live_daemon_lags() {
     let layout = harness::Layout { engines: 1, ..harness::Layout::default() };
     let cluster = harness::Cluster::start("configuration_lag", layout).await;
     let before = cluster.apply(&[tier("t", 9, 1, 0)]).await;
     let (one, two, paused) = (cluster.operator(0), cluster.operator(1), cluster.operator(2));
     cluster.daemons[2].process.signal("STOP");
     let version = one.apply(&[tier("t", 9, 2, before)]).await.unwrap().version;
-    harness::until("the other daemon has the version", async || {
+    harness::wait_until("the other daemon has the version", async || {
         (two.overview().await.ok()?.version >= version).then_some(())
     })
     .await;
-    let end = time::Instant::now() + LOOK;
+    let end = time::Instant::now() + CHECK_DURATION;
     while time::Instant::now() < end {
         for operator in [&one, &two] {
-            // Once it is called dead, the paused daemon does not count.
-            let seen = operator.overview().await.unwrap();
-            assert!(seen.in_force < version || seen.live < 3, "{seen:?}");
+            // The paused daemon does not count once it is considered dead.
+            let overview = operator.overview().await.unwrap();
+            assert!(overview.in_force < version || overview.live < 3, "{overview:?}");
         }
     }
     cluster.daemons[2].process.signal("CONT");
-    harness::until("the version is in force", async || {
+    harness::wait_until("the version is in force", async || {
         (one.overview().await.ok()?.in_force >= version).then_some(())
     })
     .await;
-    harness::until("the paused daemon has it too", async || {
+    harness::wait_until("the paused daemon has the version", async || {
         (paused.overview().await.ok()?.version >= version).then_some(())
     })
     .await;
--- a/crates/trefoildyked/tests/testsuite/crashes.rs
+++ b/crates/trefoildyked/tests/testsuite/crashes.rs
@@ -1,8 +1,9 @@
 //! A request that ends every engine which runs it.
 //!
-//! The gateway recognises such a request and sends it nowhere any more. The daemon's own scheduler decides from each request's
-//! identifier alone: the same question under a new one is a new request, and gets the next engine. Nothing here says yet that it should
-//! not: `the request was started at a fourth engine: 1`.
+//! The gateway recognises such a request and stops sending it. The scheduler of the daemon decides by the
+//! request identifier alone: the same input under a new identifier is a new request and is sent to the next
+//! engine. Nothing in the daemon prevents this yet, so the test fails with
+//! `the request was started at a fourth engine: 1`.
 
 use std::collections;
 
@@ -10,37 +11,37 @@
 
 use crate::harness::{self, caller};
 
-/// How many engines end under the request.
-const ENDS: usize = 3;
+/// The number of engines that end while they run the request.
+const ENGINE_ENDS: usize = 3;
 
-/// Asks the question under a new identifier and ends the engine that begins to run it.
-async fn end_one(
+/// Sends the request under a new identifier and kills the engine that starts it.
+async fn kill_next_engine(
     cluster: &mut harness::Cluster,
-    question: &request::RequestSpec,
+    template: &request::RequestSpec,
     daemon: usize,
     ended: &mut collections::BTreeSet<usize>,
 ) {
     let client = harness::Caller::default();
-    let id = caller::fresh();
-    let spec = request::RequestSpec { id: Some(id), ..question.clone() };
+    let id = caller::new_id();
+    let spec = request::RequestSpec { id: Some(id), ..template.clone() };
     let address = cluster.daemons[daemon % cluster.daemons.len()].callers;
     let mut stream = client.open(address, &spec).await.unwrap();
     assert!(stream.read_tokens(1).await);
     let engine = engine_of(cluster, id, ended).await.unwrap();
     cluster.engines[engine].kill();
     ended.insert(engine);
-    let end = stream.run().await;
-    assert!(!matches!(end, harness::Outcome::Whole(..)), "{end:?}");
+    let outcome = stream.read_to_end().await;
+    assert!(!matches!(outcome, harness::Outcome::Complete(..)), "{outcome:?}");
 }
 
-/// Returns the living engine that has started a request.
+/// Returns the running engine that has started a request.
 async fn engine_of(
     cluster: &harness::Cluster,
     id: id::RequestId,
     ended: &collections::BTreeSet<usize>,
 ) -> Option<usize> {
     for engine in (0..cluster.engines.len()).filter(|engine| !ended.contains(engine)) {
-        if cluster.starts_at(&cluster.engines[engine], id).await > 0 {
+        if cluster.start_count_at(&cluster.engines[engine], id).await > 0 {
             return Some(engine);
         }
     }
@@ -49,26 +50,26 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_question_under_which_three_engines_ended_is_not_started_at_a_fourth() {
-    let layout = harness::Layout { engines: ENDS + 1, ..harness::Layout::default() };
+    let layout = harness::Layout { engines: ENGINE_ENDS + 1, ..harness::Layout::default() };
     let mut cluster = harness::Cluster::start("crashes", layout).await;
-    let question = caller::model(300);
+    let template = caller::model_request(300);
     let mut ended = collections::BTreeSet::new();
-    for daemon in 0..ENDS {
-        end_one(&mut cluster, &question, daemon, &mut ended).await;
+    for daemon in 0..ENGINE_ENDS {
+        kill_next_engine(&mut cluster, &template, daemon, &mut ended).await;
     }
     let client = harness::Caller::default();
     let address = cluster.daemons[0].callers;
-    let fresh = || Some(caller::fresh());
+    let fresh = || Some(caller::new_id());
     let other = "Another question.".to_owned();
-    let other = request::RequestSpec { id: fresh(), input: other, ..question.clone() };
-    let answer = client.ask(address, &other).await;
-    assert!(matches!(answer, harness::Outcome::Whole(..)), "{answer:?}");
-    let id = caller::fresh();
+    let other = request::RequestSpec { id: fresh(), input: other, ..template.clone() };
+    let answer = client.call(address, &other).await;
+    assert!(matches!(answer, harness::Outcome::Complete(..)), "{answer:?}");
+    let id = caller::new_id();
     let answer =
-        client.ask(address, &request::RequestSpec { id: Some(id), ..question.clone() }).await;
-    let fourth = (0..=ENDS).find(|engine| !ended.contains(engine)).unwrap();
-    let starts = cluster.starts_at(&cluster.engines[fourth], id).await;
+        client.call(address, &request::RequestSpec { id: Some(id), ..template.clone() }).await;
+    let fourth = (0..=ENGINE_ENDS).find(|engine| !ended.contains(engine)).unwrap();
+    let starts = cluster.start_count_at(&cluster.engines[fourth], id).await;
     assert_eq!(starts, 0, "the request was started at a fourth engine: {starts}");
-    let refusal = answer.refused();
+    let refusal = answer.unwrap_refusal();
     assert_eq!(refusal.kind, request::RefusalKind::NotRun, "{refusal}");
 }
--- a/crates/trefoildyked/tests/testsuite/endpoints.rs
+++ b/crates/trefoildyked/tests/testsuite/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, misbehave or get orders.
+//! Endpoints that leave, misbehave or receive orders.
 
 use std::time;
 
@@ -7,24 +7,27 @@
 
 use crate::harness::{self, caller};
 
-/// The bound of `LeavingGetsNothing`, as docs/design/endpoints.md states it.
-const BOUND: time::Duration = time::Duration::from_secs(5);
-const CALL: time::Duration = time::Duration::from_secs(10);
+/// The time after which a leaving host receives no requests: the bound of the invariant `LeavingGetsNothing`
+/// in docs/design/endpoints.md.
+const LEAVING_BOUND: time::Duration = time::Duration::from_secs(5);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Sends a call to a stand-in.
+/// Posts a JSON body to a testbed process.
 async fn post(process: &harness::Process, path: &str, body: &impl serde::Serialize) {
     let uri = format!("http://{}{path}", process.address(""));
     let request = http::json_request(hyper::Method::POST, &uri, body).unwrap();
-    let reply = http::Client::default().call(request, CALL).await.unwrap();
+    let reply = http::Client::default().call(request, CALL_TIMEOUT).await.unwrap();
     assert_eq!(reply.status(), hyper::StatusCode::OK);
 }
 
+/// Returns the ledger of an endpoint.
 async fn ledger(process: &harness::Process) -> serde_json::Value {
     let uri = format!("http://{}/v1/ledger", process.address(""));
     let request = hyper::Request::get(uri).body(bytes::Bytes::new()).unwrap();
-    http::parse(&http::Client::default().call(request, CALL).await.unwrap()).unwrap()
+    http::parse(&http::Client::default().call(request, CALL_TIMEOUT).await.unwrap()).unwrap()
 }
 
+/// Returns how many requests an endpoint has started.
 async fn started(process: &harness::Process) -> usize {
     ledger(process).await["starts"].as_object().unwrap().len()
 }
@@ -39,82 +42,86 @@
     }
 }
 
-/// Asks daemons in turn until `enough` says so, and checks every answer.
-async fn ask_until(cluster: &harness::Cluster, mut enough: impl AsyncFnMut() -> bool) {
+/// Sends requests to the daemons in turn until `enough` returns true, and checks every answer.
+async fn call_until(cluster: &harness::Cluster, mut enough: impl AsyncFnMut() -> bool) {
     let client = harness::Caller::default();
-    let end = time::Instant::now() + harness::LONG;
+    let end = time::Instant::now() + harness::WAIT_TIMEOUT;
     for daemon in cluster.daemons.iter().cycle() {
-        let outcome = client.ask(daemon.callers, &caller::model(3)).await;
-        let harness::Outcome::Whole(id, tokens) = outcome else { panic!("{outcome:?}") };
-        assert_eq!(tokens, caller::expected(id, 0, 3));
+        let outcome = client.call(daemon.callers, &caller::model_request(3)).await;
+        let harness::Outcome::Complete(id, tokens) = outcome else { panic!("{outcome:?}") };
+        assert_eq!(tokens, caller::expected_tokens(id, 0, 3));
         if enough().await {
             return;
         }
-        assert!(time::Instant::now() < end, "waited in vain");
+        assert!(time::Instant::now() < end, "the condition did not hold in time");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_leaving_host_gets_nothing_after_the_bound() {
+async fn leaving_host_gets_no_requests_after_the_bound() {
     let cluster = harness::Cluster::start("leaving", harness::Layout::default()).await;
     let [leaving, staying] = &cluster.engines[..] else { panic!() };
-    // An engine that nobody uses would prove nothing: make the other one leave first.
-    let only = |gone: &str, left: &str| message::HostList {
-        hosts: vec![host(gone, message::HostState::Leaving), host(left, message::HostState::Live)],
+    // The other engine leaves first, so that the engine under test is known to receive requests.
+    let one_leaving = |leaving: &str, live: &str| message::HostList {
+        hosts: vec![
+            host(leaving, message::HostState::Leaving),
+            host(live, message::HostState::Live),
+        ],
         as_of_ms: 0,
     };
-    let list = only("host-of-engine-1", "host-of-engine-0");
+    let list = one_leaving("host-of-engine-1", "host-of-engine-0");
     post(&cluster.hosts, "/admin/hosts", &list).await;
     let before = started(leaving).await;
-    ask_until(&cluster, async || started(leaving).await > before + 3).await;
-    let list = only("host-of-engine-0", "host-of-engine-1");
+    call_until(&cluster, async || started(leaving).await > before + 3).await;
+    let list = one_leaving("host-of-engine-0", "host-of-engine-1");
     post(&cluster.hosts, "/admin/hosts", &list).await;
-    // The stand-in shows the change after its lag of one second; the bound counts from then.
-    tokio::time::sleep(time::Duration::from_secs(1) + BOUND).await;
+    // The host service publishes the change after a lag of one second; the bound counts from then.
+    tokio::time::sleep(time::Duration::from_secs(1) + LEAVING_BOUND).await;
     let (before, other) = (started(leaving).await, started(staying).await);
-    ask_until(&cluster, async || started(staying).await > other + 10).await;
+    call_until(&cluster, async || started(staying).await > other + 10).await;
     assert_eq!(started(leaving).await, before);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_never_sees_a_crossed_answer() {
-    let cluster = harness::Cluster::start("crossed", harness::Layout::default()).await;
-    ask_until(&cluster, async || true).await;
+async fn misrouted_answers_never_reach_a_caller() {
+    let cluster = harness::Cluster::start("misrouted", harness::Layout::default()).await;
+    call_until(&cluster, async || true).await;
     let mode = serde_json::json!({"mode": "cross", "factor": 1.0});
     for engine in &cluster.engines {
         post(engine, "/admin/mode", &mode).await;
     }
-    // Every connection crosses its first chunk, so no answer can be had whole: the harness checks
-    // each chunk, and the request ends in a truthful refusal.
+    // The first chunk of every connection belongs to another request, so no answer is complete: the harness
+    // checks each chunk, and the request ends in a correct refusal.
     let client = harness::Caller::default();
-    let outcome = client.ask(cluster.daemons[0].callers, &caller::model(3)).await;
-    let refusal = outcome.refused();
+    let outcome = client.call(cluster.daemons[0].callers, &caller::model_request(3)).await;
+    let refusal = outcome.unwrap_refusal();
     assert_eq!(refusal.kind, trefoildyke_types::request::RefusalKind::OutcomeUnknown);
     for engine in &cluster.engines {
         post(engine, "/admin/mode", &serde_json::json!({"mode": "ok"})).await;
     }
-    ask_until(&cluster, async || true).await;
+    call_until(&cluster, async || true).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stream_whose_connection_goes_silent_goes_on_and_starts_nothing() {
+async fn stream_survives_a_silent_connection_without_a_restart() {
     let cluster = harness::Cluster::start("silent", harness::Layout::default()).await;
     let slow = serde_json::json!({"mode": "straggle", "factor": 20.0});
     for engine in &cluster.engines {
         post(engine, "/admin/mode", &slow).await;
     }
     let client = harness::Caller::default();
-    let mut stream = client.open(cluster.daemons[0].callers, &caller::model(60)).await.unwrap();
-    let id = stream.accepted().await;
-    harness::until("the request is started", async || {
-        (cluster.starts_of(id).await == 1).then_some(())
+    let mut stream =
+        client.open(cluster.daemons[0].callers, &caller::model_request(60)).await.unwrap();
+    let id = stream.wait_accepted().await;
+    harness::wait_until("the request is started", async || {
+        (cluster.start_count(id).await == 1).then_some(())
     })
     .await;
     for engine in &cluster.engines {
         post(engine, "/admin/mode", &serde_json::json!({"mode": "silent"})).await;
     }
-    assert_eq!(stream.finish().await.whole(), caller::expected(id, 0, 60));
-    assert_eq!(cluster.starts_of(id).await, 1);
+    assert_eq!(stream.finish().await.unwrap_tokens(), caller::expected_tokens(id, 0, 60));
+    assert_eq!(cluster.start_count(id).await, 1);
     let mut prefilled = 0;
     for engine in &cluster.engines {
         prefilled += ledger(engine).await["prefilled_tokens"].as_u64().unwrap();
@@ -123,7 +130,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_order_is_carried_out_once_whichever_daemon_dies() {
+async fn order_is_executed_once_when_a_daemon_dies() {
     let mut cluster = harness::Cluster::start("order", harness::Layout::default()).await;
     let order = |role: &str| {
         let action = resource::OrderAction::SetRole { role: role.to_owned() };
@@ -137,19 +144,19 @@
         }
     };
     cluster.apply(&[order("decode")]).await;
-    done(&cluster, 1, 2).await;
+    wait_done(&cluster, 1, 2).await;
     cluster.daemons[0].process.kill();
     let operator = cluster.operator(1);
-    harness::until("the second order is accepted", async || {
+    harness::wait_until("the second order is accepted", async || {
         let mut next = order("prefill");
         next.resource_version = operator.get(&order_key()).await.ok()?.resource_version;
         operator.apply(&[next]).await.ok()
     })
     .await;
-    done(&cluster, 2, 1).await;
+    wait_done(&cluster, 2, 1).await;
     let ledger = ledger(&cluster.engines[0]).await;
-    let carried = ledger["orders"].as_array().unwrap();
-    let names: Vec<_> = carried.iter().map(|order| order["order"].as_str().unwrap()).collect();
+    let executed = ledger["orders"].as_array().unwrap();
+    let names: Vec<_> = executed.iter().map(|order| order["order"].as_str().unwrap()).collect();
     assert_eq!(names, ["role/1", "role/2"]);
 }
 
@@ -157,10 +164,10 @@
     resource::ResourceKey { kind: resource::Kind::EngineOrder, name: "role".to_owned() }
 }
 
-/// Waits until a daemon says that the order's generation is done.
-async fn done(cluster: &harness::Cluster, generation: u64, daemon: usize) {
+/// Waits until a daemon reports the phase `Done` for a generation of the order.
+async fn wait_done(cluster: &harness::Cluster, generation: u64, daemon: usize) {
     let operator = cluster.operator(daemon);
-    harness::until("the order is done", async || {
+    harness::wait_until("the order is done", async || {
         let order = operator.get(&order_key()).await.ok()?;
         let phase = order.status?.phase;
         (order.generation == generation && phase == resource::Phase::Done).then_some(())
--- a/crates/trefoildyked/tests/testsuite/freeze.rs
+++ b/crates/trefoildyked/tests/testsuite/freeze.rs
@@ -1,4 +1,4 @@
-//! Daemons that freeze and go on, and several that die at once.
+//! Daemons that freeze and resume, and several daemons that die at once.
 
 use trefoildyke_types::request;
 
@@ -7,12 +7,13 @@
 const TOKENS: u32 = 150;
 
 fn specs(count: usize) -> Vec<request::RequestSpec> {
-    let spec = |_| request::RequestSpec { id: Some(caller::fresh()), ..caller::model(TOKENS) };
+    let spec =
+        |_| request::RequestSpec { id: Some(caller::new_id()), ..caller::model_request(TOKENS) };
     (0..count).map(spec).collect()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_coordinator_that_freezes_and_goes_on_starts_nothing_twice() {
+async fn frozen_coordinator_starts_nothing_twice_after_it_resumes() {
     let layout = harness::Layout { slots: 2, ..harness::Layout::default() };
     let cluster = harness::Cluster::start("freeze", layout).await;
     let client = harness::Caller::default();
@@ -23,7 +24,7 @@
     }
     assert!(frozen[0].read_tokens(3).await);
     cluster.daemons[0].process.signal("STOP");
-    harness::until("the others have taken over", async || {
+    harness::wait_until("the other daemons have taken over", async || {
         let overview = cluster.operator(1).overview().await.ok()?;
         (overview.live == 2).then_some(())
     })
@@ -31,35 +32,35 @@
     let retries = specs.iter().map(|spec| {
         let spec = request::RequestSpec { attempt: 2, ..spec.clone() };
         let (client, daemon) = (client.clone(), cluster.daemons[1].callers);
-        async move { client.ask(daemon, &spec).await }
+        async move { client.call(daemon, &spec).await }
     });
-    let (elsewhere, ()) = futures::join!(futures::future::join_all(retries), async {
-        // The frozen coordinator wakes up while its requests run elsewhere.
-        harness::until("a request that waited runs", async || {
-            let starts = cluster.starts().await;
+    let (outcomes, ()) = futures::join!(futures::future::join_all(retries), async {
+        // The frozen coordinator resumes while its requests run at another daemon.
+        harness::wait_until("a queued request runs", async || {
+            let starts = cluster.start_counts().await;
             (starts.len() > 4).then_some(())
         })
         .await;
         cluster.daemons[0].process.signal("CONT");
     });
-    for (spec, outcome) in specs.iter().zip(elsewhere) {
+    for (spec, outcome) in specs.iter().zip(outcomes) {
         let id = spec.id.unwrap();
-        assert_eq!(outcome.whole(), caller::expected(id, 0, TOKENS));
+        assert_eq!(outcome.unwrap_tokens(), caller::expected_tokens(id, 0, TOKENS));
     }
-    // What the first coordinator still tells its callers is as whole or as truthful.
+    // Answers that the first coordinator still sends to its callers must be correct if they are complete.
     for (spec, stream) in specs.iter().zip(frozen) {
-        if let harness::Outcome::Whole(id, tokens) = stream.finish().await {
+        if let harness::Outcome::Complete(id, tokens) = stream.finish().await {
             assert_eq!(Some(id), spec.id);
-            assert_eq!(tokens, caller::expected(id, 0, TOKENS));
+            assert_eq!(tokens, caller::expected_tokens(id, 0, TOKENS));
         }
     }
-    let starts = cluster.starts().await;
+    let starts = cluster.start_counts().await;
     assert_eq!(starts.len(), specs.len());
     assert!(starts.values().all(|count| *count == 1), "{starts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn two_daemons_at_once_lose_and_double_nothing() {
+async fn requests_run_once_when_two_daemons_die_at_once() {
     let layout = harness::Layout { daemons: 4, ..harness::Layout::default() };
     let mut cluster = harness::Cluster::start("two_at_once", layout).await;
     let client = harness::Caller::default();
@@ -78,12 +79,12 @@
         let offset = stream.tokens.len() as u64;
         let spec = request::RequestSpec { attempt: 2, offset, ..spec.clone() };
         let (client, daemon) = (client.clone(), cluster.daemons[2 + index % 2].callers);
-        async move { (client.ask(daemon, &spec).await, offset) }
+        async move { (client.call(daemon, &spec).await, offset) }
     });
     let outcomes = futures::future::join_all(retries).await;
     for (spec, (outcome, offset)) in specs.iter().zip(outcomes) {
         let id = spec.id.unwrap();
-        assert_eq!(outcome.whole(), caller::expected(id, offset, TOKENS));
-        assert_eq!(cluster.starts_of(id).await, 1);
+        assert_eq!(outcome.unwrap_tokens(), caller::expected_tokens(id, offset, TOKENS));
+        assert_eq!(cluster.start_count(id).await, 1);
     }
 }
--- a/crates/trefoildyked/tests/testsuite/harness/cluster.rs
+++ b/crates/trefoildyked/tests/testsuite/harness/cluster.rs
@@ -1,13 +1,13 @@
-//! A whole system of processes.
+//! A complete system of processes.
 
 use std::{collections, fs, net, path, time};
 
 use trefoildyke_types::{id, resource};
 use trefoildyke_wire::{http, operators};
 
-use super::{Layout, Process, layout, until};
+use super::{Layout, Process, layout, wait_until};
 
-const CALL: time::Duration = time::Duration::from_secs(10);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// One daemon of the system.
 pub(crate) struct Daemon {
@@ -18,25 +18,25 @@
     pub(crate) host: String,
 }
 
-/// A whole system of processes, ended when dropped.
+/// A complete system of processes, killed when dropped.
 pub(crate) struct Cluster {
     pub(crate) daemons: Vec<Daemon>,
     pub(crate) engines: Vec<Process>,
     pub(crate) services: Vec<Process>,
     pub(crate) kv: Process,
     pub(crate) hosts: Process,
-    folder: path::PathBuf,
+    directory: path::PathBuf,
     http: http::Client,
-    started: usize,
+    daemons_started: usize,
 }
 
 impl Cluster {
-    /// Starts every process, applies the resources and waits until they are in force everywhere.
+    /// Starts every process, applies the resources and waits until they are in force on every daemon.
     pub(crate) async fn start(name: &str, layout: Layout) -> Self {
-        let folder = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        fs::create_dir_all(&folder).unwrap();
+        let directory = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        fs::create_dir_all(&directory).unwrap();
         let testbed = |name: &str, arguments: &[&str]| {
-            Process::testbed(arguments, folder.join(format!("{name}.log")))
+            Process::testbed(arguments, directory.join(format!("{name}.log")))
         };
         let slots = layout.slots.to_string();
         let call_ms = layout.call_ms.to_string();
@@ -54,9 +54,9 @@
             services,
             kv,
             hosts,
-            folder,
+            directory,
             http: http::Client::default(),
-            started: 0,
+            daemons_started: 0,
         };
         for _ in 0..layout.daemons {
             cluster.add_daemon();
@@ -65,17 +65,17 @@
         cluster
     }
 
-    /// Starts one more daemon, which finds the others by their addresses.
+    /// Starts one more daemon, which has the others as seeds.
     pub(crate) fn add_daemon(&mut self) {
         self.add_daemon_as(serde_json::json!({}));
     }
 
-    /// Starts one more daemon with some of its peer settings replaced.
+    /// Starts one more daemon with some peer settings replaced.
     pub(crate) fn add_daemon_as(&mut self, peers: serde_json::Value) {
-        let host = format!("entry-{}", self.started);
-        let file = self.folder.join(format!("{host}.yaml"));
+        let host = format!("entry-{}", self.daemons_started);
+        let file = self.directory.join(format!("{host}.yaml"));
         fs::write(&file, self.settings(&host, peers)).unwrap();
-        let log = self.folder.join(format!("{host}.log"));
+        let log = self.directory.join(format!("{host}.log"));
         let process = Process::daemon(&["--config", file.to_str().unwrap()], log);
         self.daemons.push(Daemon {
             callers: process.address("callers"),
@@ -84,7 +84,7 @@
             host,
             process,
         });
-        self.started += 1;
+        self.daemons_started += 1;
     }
 
     fn settings(&self, host: &str, replaced: serde_json::Value) -> String {
@@ -114,37 +114,37 @@
         layout::resources(layout, &addresses(&self.engines), &addresses(&self.services))
     }
 
-    /// Returns an operator's client of one daemon.
+    /// Returns an operator client for one daemon.
     pub(crate) fn operator(&self, daemon: usize) -> operators::Client {
         let address = self.daemons[daemon].operators;
-        operators::Client::new(vec![address], layout::TOKEN, CALL).unwrap()
+        operators::Client::new(vec![address], layout::TOKEN, CALL_TIMEOUT).unwrap()
     }
 
-    /// Applies resources and waits until they are in force on every living daemon.
+    /// Applies resources at daemon 0 and waits until they are in force on every daemon; returns the version.
     pub(crate) async fn apply(&self, resources: &[resource::Resource]) -> u64 {
         let operator = self.operator(0);
         let accepted =
-            until("a change is accepted", async || operator.apply(&resources).await.ok());
+            wait_until("a change is accepted", async || operator.apply(&resources).await.ok());
         let version = accepted.await.version;
         for index in 0..self.daemons.len() {
-            self.in_force(index, version).await;
+            self.wait_in_force(index, version).await;
         }
         version
     }
 
-    /// Waits until a daemon says that the version is in force on every daemon.
-    async fn in_force(&self, daemon: usize, version: u64) {
+    /// Waits until a daemon reports that the version is in force on every daemon.
+    async fn wait_in_force(&self, daemon: usize, version: u64) {
         let operator = self.operator(daemon);
         let live = u32::try_from(self.daemons.len()).unwrap();
-        until("a version is in force", async || {
+        wait_until("a version is in force", async || {
             let overview = operator.overview().await.ok()?;
             (overview.in_force >= version && overview.live == live).then_some(())
         })
         .await;
     }
 
-    /// Returns how often each request was started, over all endpoints.
-    pub(crate) async fn starts(&self) -> collections::BTreeMap<String, u32> {
+    /// Returns how often each request was started, summed over all endpoints.
+    pub(crate) async fn start_counts(&self) -> collections::BTreeMap<String, u32> {
         let mut starts = collections::BTreeMap::new();
         for endpoint in self.engines.iter().chain(&self.services) {
             let ledger = self.ledger(endpoint).await;
@@ -159,25 +159,25 @@
     async fn ledger(&self, endpoint: &Process) -> serde_json::Value {
         let uri = format!("http://{}/v1/ledger", endpoint.address(""));
         let request = hyper::Request::get(uri).body(bytes::Bytes::new()).unwrap();
-        http::parse(&self.http.call(request, CALL).await.unwrap()).unwrap()
+        http::parse(&self.http.call(request, CALL_TIMEOUT).await.unwrap()).unwrap()
     }
 
     /// Returns how often one request was started at one endpoint.
-    pub(crate) async fn starts_at(&self, endpoint: &Process, id: id::RequestId) -> u64 {
+    pub(crate) async fn start_count_at(&self, endpoint: &Process, id: id::RequestId) -> u64 {
         let ledger = self.ledger(endpoint).await;
         ledger["starts"][format!("cascadia/{id}")].as_u64().unwrap_or(0)
     }
 
     /// Returns how often one request was started.
-    pub(crate) async fn starts_of(&self, id: id::RequestId) -> u32 {
-        self.starts().await.get(&format!("cascadia/{id}")).copied().unwrap_or(0)
+    pub(crate) async fn start_count(&self, id: id::RequestId) -> u32 {
+        self.start_counts().await.get(&format!("cascadia/{id}")).copied().unwrap_or(0)
     }
 
-    /// Sets the mode of a stand-in.
+    /// Sets the mode of a testbed process.
     pub(crate) async fn set_mode(&self, process: &Process, mode: serde_json::Value) {
         let uri = format!("http://{}/admin/mode", process.address(""));
         let request = http::json_request(hyper::Method::POST, &uri, &mode).unwrap();
-        let response = self.http.call(request, CALL).await.unwrap();
+        let response = self.http.call(request, CALL_TIMEOUT).await.unwrap();
         assert!(response.status().is_success());
     }
 }
--- a/crates/trefoildyked/tests/testsuite/harness/layout.rs
+++ b/crates/trefoildyked/tests/testsuite/harness/layout.rs
@@ -1,4 +1,4 @@
-//! The resources of a test's system.
+//! The size and the resources of a test system.
 
 use std::{collections, net};
 
@@ -10,15 +10,15 @@
 /// The token of the operators.
 pub(crate) const TOKEN: &str = "operator-token";
 
-/// Says what a test's system is made of.
+/// The size of a test system.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Layout {
     pub(crate) daemons: usize,
     pub(crate) engines: usize,
     pub(crate) services: usize,
-    /// How many requests an endpoint runs at once.
+    /// How many requests an endpoint runs concurrently.
     pub(crate) slots: u32,
-    /// How long a call of a plain service takes, in milliseconds.
+    /// How long a call of a service takes, in milliseconds.
     pub(crate) call_ms: u64,
 }
 
@@ -58,17 +58,17 @@
     resources
 }
 
-fn new(name: &str, spec: resource::Spec) -> resource::Resource {
+fn resource(name: &str, spec: resource::Spec) -> resource::Resource {
     let (generation, resource_version, status) = (0, 0, None);
     resource::Resource { name: name.to_owned(), spec, generation, resource_version, status }
 }
 
 fn tier(name: &str, rank: u8) -> resource::Resource {
-    new(name, resource::Spec::Tier(resource::TierSpec { rank, deadline_ms: 60_000 }))
+    resource(name, resource::Spec::Tier(resource::TierSpec { rank, deadline_ms: 60_000 }))
 }
 
 fn pool(name: &str, protocol: resource::PoolProtocol) -> resource::Resource {
-    new(name, resource::Spec::EndpointPool(resource::EndpointPoolSpec { protocol, shards: 1 }))
+    resource(name, resource::Spec::EndpointPool(resource::EndpointPoolSpec { protocol, shards: 1 }))
 }
 
 fn account() -> resource::Resource {
@@ -80,7 +80,7 @@
         weight: 1,
         max_waiting: None,
     };
-    new("cascadia", resource::Spec::ClientAccount(spec))
+    resource("cascadia", resource::Spec::ClientAccount(spec))
 }
 
 fn endpoint(name: &str, pool: &str, address: net::SocketAddr, slots: u32) -> resource::Resource {
@@ -93,10 +93,10 @@
         cache_tokens: 16_384,
         checks_fencing: true,
     };
-    new(name, resource::Spec::Endpoint(spec))
+    resource(name, resource::Spec::Endpoint(spec))
 }
 
 /// Returns a planned stop.
 pub(crate) fn planned_stop(name: &str, target: resource::StopTarget) -> resource::Resource {
-    new(name, resource::Spec::PlannedStop(resource::PlannedStopSpec { target }))
+    resource(name, resource::Spec::PlannedStop(resource::PlannedStopSpec { target }))
 }
--- a/crates/trefoildyked/tests/testsuite/harness/mod.rs
+++ b/crates/trefoildyked/tests/testsuite/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Runs whole systems as processes.
+//! Runs complete systems as processes.
 
 pub(crate) mod caller;
 mod cluster;
@@ -12,4 +12,4 @@
 pub(crate) use layout::Layout;
 pub(crate) use outcome::Outcome;
 pub(crate) use process::Process;
-pub(crate) use wait::{LONG, until};
+pub(crate) use wait::{WAIT_TIMEOUT, wait_until};
--- a/crates/trefoildyked/tests/testsuite/harness/outcome.rs
+++ b/crates/trefoildyked/tests/testsuite/harness/outcome.rs
@@ -1,29 +1,29 @@
-//! What a caller got.
+//! The outcome of a request for its caller.
 
 use trefoildyke_types::{id, request};
 
-/// What a caller got for one request.
+/// The outcome of one request for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The whole answer, checked token by token.
-    Whole(id::RequestId, Vec<String>),
-    /// A typed refusal, before or after the request was accepted.
+    /// The complete answer, with contiguous chunks.
+    Complete(id::RequestId, Vec<String>),
+    /// A refusal, before or after the request was accepted.
     Refused(request::Refusal),
-    /// The connection broke before the end, after so many tokens.
+    /// The connection broke before the end, after the given number of tokens.
     Broken(Option<id::RequestId>, u64),
 }
 
 impl Outcome {
-    /// Returns the tokens of a whole answer; panics on anything else.
-    pub(crate) fn whole(self) -> Vec<String> {
+    /// Returns the tokens of a complete answer; panics on any other outcome.
+    pub(crate) fn unwrap_tokens(self) -> Vec<String> {
         match self {
-            Self::Whole(_, tokens) => tokens,
-            other => panic!("no whole answer: {other:?}"),
+            Self::Complete(_, tokens) => tokens,
+            other => panic!("no complete answer: {other:?}"),
         }
     }
 
-    /// Returns the refusal; panics on anything else.
-    pub(crate) fn refused(self) -> request::Refusal {
+    /// Returns the refusal; panics on any other outcome.
+    pub(crate) fn unwrap_refusal(self) -> request::Refusal {
         match self {
             Self::Refused(refusal) => refusal,
             other => panic!("no refusal: {other:?}"),
--- a/crates/trefoildyked/tests/testsuite/harness/process.rs
+++ b/crates/trefoildyked/tests/testsuite/harness/process.rs
@@ -1,4 +1,4 @@
-//! One process of a test.
+//! Processes of a test.
 
 use std::{
     fs,
@@ -6,22 +6,22 @@
     path, process, time,
 };
 
-/// Runs a process that prints where it listens; it is killed when dropped.
+/// A process that prints its addresses; it is killed when dropped.
 pub(crate) struct Process {
     child: process::Child,
-    /// The first line of its standard output.
-    pub(crate) line: String,
-    /// Its standard error.
+    /// The first line of the standard output.
+    pub(crate) first_line: String,
+    /// The file that holds the standard error.
     pub(crate) log: path::PathBuf,
 }
 
 impl Process {
-    /// Starts the daemon.
+    /// Starts a daemon.
     pub(crate) fn daemon(arguments: &[&str], log: path::PathBuf) -> Self {
         Self::start(path::Path::new(env!("CARGO_BIN_EXE_trefoildyked")), arguments, log)
     }
 
-    /// Starts a stand-in.
+    /// Starts a testbed process.
     pub(crate) fn testbed(arguments: &[&str], log: path::PathBuf) -> Self {
         let binary = path::Path::new(env!("CARGO_BIN_EXE_trefoildyked")).with_file_name("testbed");
         assert!(
@@ -40,21 +40,21 @@
             .stderr(fs::File::create(&log).unwrap())
             .spawn()
             .unwrap();
-        let mut line = String::new();
-        io::BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-        let process = Self { child, line, log };
-        assert!(process.line.starts_with("listening "), "{}", process.told());
+        let mut first_line = String::new();
+        io::BufReader::new(child.stdout.take().unwrap()).read_line(&mut first_line).unwrap();
+        let process = Self { child, first_line, log };
+        assert!(process.first_line.starts_with("listening "), "{}", process.stderr());
         process
     }
 
-    /// Returns what the process has written to its standard error.
-    pub(crate) fn told(&self) -> String {
+    /// Returns what the process has written to standard error.
+    pub(crate) fn stderr(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Returns an address of the first line; `name` is empty for the only one.
+    /// Returns an address from the first line; `name` is empty if the line has one address without a name.
     pub(crate) fn address(&self, name: &str) -> std::net::SocketAddr {
-        let words = self.line.split_whitespace().skip(1);
+        let words = self.first_line.split_whitespace().skip(1);
         let prefix = if name.is_empty() { String::new() } else { format!("{name}=") };
         let mut found = words.filter_map(|word| word.strip_prefix(&prefix));
         found.next().and_then(|text| text.parse().ok()).unwrap()
@@ -68,26 +68,26 @@
         assert!(status.success());
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Returns how the process ended, or `None` while it runs.
-    pub(crate) fn ended(&mut self) -> Option<process::ExitStatus> {
+    /// Returns the exit status, or `None` while the process runs.
+    pub(crate) fn exit_status(&mut self) -> Option<process::ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process has exited.
     pub(crate) async fn wait(&mut self) -> process::ExitStatus {
-        let end = time::Instant::now() + super::LONG;
+        let end = time::Instant::now() + super::WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 return status;
             }
-            assert!(time::Instant::now() < end, "the process did not end: {}", self.told());
+            assert!(time::Instant::now() < end, "the process did not exit: {}", self.stderr());
             tokio::time::sleep(time::Duration::from_millis(10)).await;
         }
     }
--- a/crates/trefoildyked/tests/testsuite/main.rs
+++ b/crates/trefoildyked/tests/testsuite/main.rs
@@ -1,23 +1,23 @@
-//! Tests of whole systems of processes on loopback, one module a feature.
+//! Tests of systems of daemon processes on loopback, one module for each feature.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests unwrap as tests do")]
 
+mod at_most_once;
 mod binary;
 mod configuration;
+mod control;
 mod crashes;
-mod crossed;
-mod cut;
+mod disconnect;
+mod dispatch_window;
+mod end_to_end;
 mod endpoints;
 mod freeze;
 mod harness;
 mod kill;
-mod letters;
-mod members;
-mod once;
+mod membership;
+mod misrouted;
 mod orphan;
-mod promptness;
-mod rejoin;
+mod refusal_latency;
+mod retry_join;
+mod service_calls;
 mod stop;
-mod switches;
-mod whole_path;
-mod window;
