--- a/crates/daemon/src/intents/committer.rs
+++ b/crates/daemon/src/intents/committer.rs
@@ -1,4 +1,4 @@
-//! Writes and looks up the records of one bucket, one batch after the other.
+//! The committer, which writes and looks up the records of one bucket in consecutive batches.
 
 use std::{collections, time};
 
@@ -7,26 +7,26 @@
 use trefoildyke_decide::intents;
 use trefoildyke_types::time::Timestamp;
 
-use crate::intents::{Settings, Stats, driver, parts, waiting};
+use crate::intents::{Settings, Stats, driver, job, parts};
 
-/// How long the ledger of a slot is kept that gets no records.
-const KEEP_LEDGER: time::Duration = time::Duration::from_secs(90);
+/// How long the ledger of a slot is kept without a record to write or look up.
+const LEDGER_IDLE_LIMIT: time::Duration = time::Duration::from_secs(90);
 
-/// Writes and looks up the records of one bucket.
+/// The task that writes and looks up the records of one bucket.
 pub(super) struct Committer {
     pub(super) settings: Settings,
     pub(super) layout: intents::Layout,
-    pub(super) parts: parts::Parts,
+    pub(super) part_store: parts::PartStore,
     pub(super) stats: Stats,
-    pub(super) queue: mpsc::Receiver<waiting::Job>,
-    /// The origin of this bucket's timestamps.
+    pub(super) queue: mpsc::Receiver<job::Job>,
+    /// The instant that corresponds to timestamp zero in this bucket.
     pub(super) origin: time::Instant,
-    /// What is known of the slots, and when each was last used.
+    /// The ledger of each slot, and when it was last used.
     pub(super) ledgers: collections::HashMap<intents::Slot, (intents::Ledger, time::Instant)>,
 }
 
 impl Committer {
-    /// Commits until the token is cancelled.
+    /// Commits batches until the token is cancelled.
     pub(super) async fn run(mut self, token: tokio_sync::CancellationToken) {
         let mut last = None;
         loop {
@@ -37,18 +37,19 @@
                     None => return,
                 },
             };
-            let batch = self.gather(first, last).await;
+            let batch = self.collect_batch(first, last).await;
             last = Some(self.timestamp(time::Instant::now()));
             self.commit(batch).await;
         }
     }
 
-    async fn gather(&mut self, first: waiting::Job, last: Option<Timestamp>) -> Vec<waiting::Job> {
+    /// Waits until the next commit may start, and returns all jobs that are queued by then.
+    async fn collect_batch(&mut self, first: job::Job, last: Option<Timestamp>) -> Vec<job::Job> {
         let arrived = self.timestamp(first.arrived());
         let start = intents::commit_at(arrived, last, self.settings.window());
-        let pause = start.since(self.timestamp(time::Instant::now()));
-        if !pause.is_zero() {
-            tokio::time::sleep(pause).await;
+        let delay = start.since(self.timestamp(time::Instant::now()));
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
         }
         let mut batch = vec![first];
         while let Ok(next) = self.queue.try_recv() {
@@ -57,10 +58,10 @@
         batch
     }
 
-    async fn commit(&mut self, batch: Vec<waiting::Job>) {
-        let records = batch.iter().filter(|job| matches!(job, waiting::Job::Record(_))).count();
-        self.stats.batch(records);
-        let until = time::Instant::now() + self.settings.try_time();
+    async fn commit(&mut self, batch: Vec<job::Job>) {
+        let records = batch.iter().filter(|job| matches!(job, job::Job::Record(_))).count();
+        self.stats.count_batch(records);
+        let deadline = time::Instant::now() + self.settings.try_time();
         let mut slots: collections::BTreeMap<_, Vec<_>> = collections::BTreeMap::new();
         for job in batch {
             slots.entry(self.layout.slot(job.key())).or_default().push(job);
@@ -69,12 +70,12 @@
             .into_iter()
             .map(|(slot, jobs)| {
                 let ledger = self.ledgers.remove(&slot).map(|(ledger, _)| ledger);
-                self.commit_slot(slot, ledger.unwrap_or_default(), jobs, until)
+                self.commit_slot(slot, ledger.unwrap_or_default(), jobs, deadline)
             })
             .collect();
         let ended = futures::future::join_all(commits).await;
         let now = time::Instant::now();
-        self.ledgers.retain(|_, (_, used)| now.duration_since(*used) < KEEP_LEDGER);
+        self.ledgers.retain(|_, (_, last_used)| now.duration_since(*last_used) < LEDGER_IDLE_LIMIT);
         self.ledgers.extend(ended.into_iter().map(|(slot, ledger)| (slot, (ledger, now))));
     }
 
@@ -82,30 +83,30 @@
         &self,
         slot: intents::Slot,
         ledger: intents::Ledger,
-        jobs: Vec<waiting::Job>,
-        until: time::Instant,
+        jobs: Vec<job::Job>,
+        deadline: time::Instant,
     ) -> impl Future<Output = (intents::Slot, intents::Ledger)> + use<> {
-        let (records, unknown) = sort(jobs, &ledger);
-        let rows = records.iter().map(|waiting| waiting.row.clone()).collect();
+        let (records, look_ups) = answer_known(jobs, &ledger);
+        let rows = records.iter().map(|pending| pending.row.clone()).collect();
         let retention = self.layout.retention;
         let mut commit = intents::Commit::new(ledger, retention, self.settings.part_bytes, rows);
-        if !unknown.is_empty() {
+        if !look_ups.is_empty() {
             commit = commit.read_first();
         }
-        let parts = self.parts.clone();
+        let part_store = self.part_store.clone();
         async move {
-            let driven = driver::drive(&parts, &slot, commit, until).await;
-            for (waiting, outcome) in records.into_iter().zip(driven.outcomes) {
-                waiting.answer(outcome);
+            let result = driver::drive(&part_store, &slot, commit, deadline).await;
+            for (pending, outcome) in records.into_iter().zip(result.outcomes) {
+                pending.answer(outcome);
             }
-            for looking in unknown {
-                let found = driven.ledger.find(&looking.key).cloned();
-                // Without the read, absence is not known; dropping the answer says so.
-                if found.is_some() || driven.has_read {
-                    looking.answer(found);
+            for pending in look_ups {
+                let found = result.ledger.find(&pending.key).cloned();
+                // Only a read proves that a record is absent. Dropping the sender reports a failed look-up.
+                if found.is_some() || result.has_read {
+                    pending.answer(found);
                 }
             }
-            (slot, driven.ledger)
+            (slot, result.ledger)
         }
     }
 
@@ -114,20 +115,20 @@
     }
 }
 
-/// Answers what the ledger knows, and returns the records to write and what is left to look up.
-fn sort(
-    jobs: Vec<waiting::Job>,
+/// Answers the look-ups whose record is in the ledger; returns the records and the other look-ups.
+fn answer_known(
+    jobs: Vec<job::Job>,
     ledger: &intents::Ledger,
-) -> (Vec<waiting::Waiting>, Vec<waiting::Looking>) {
-    let (mut records, mut unknown) = (Vec::new(), Vec::new());
+) -> (Vec<job::PendingRecord>, Vec<job::PendingLookUp>) {
+    let (mut records, mut look_ups) = (Vec::new(), Vec::new());
     for job in jobs {
         match job {
-            waiting::Job::Record(waiting) => records.push(waiting),
-            waiting::Job::LookUp(looking) => match ledger.find(&looking.key).cloned() {
-                Some(found) => looking.answer(Some(found)),
-                None => unknown.push(looking),
+            job::Job::Record(pending) => records.push(pending),
+            job::Job::LookUp(pending) => match ledger.find(&pending.key).cloned() {
+                Some(found) => pending.answer(Some(found)),
+                None => look_ups.push(pending),
             },
         }
     }
-    (records, unknown)
+    (records, look_ups)
 }
--- a/crates/daemon/src/intents/driver.rs
+++ b/crates/daemon/src/intents/driver.rs
@@ -1,4 +1,4 @@
-//! Carries a commit out.
+//! The driver that executes the steps of a commit.
 
 use std::time;
 
@@ -6,51 +6,51 @@
 
 use crate::intents::parts;
 
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(5);
-const LONGEST_PAUSE: time::Duration = time::Duration::from_millis(100);
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(5);
+const MAX_BACKOFF: time::Duration = time::Duration::from_millis(100);
 
-/// What a commit came to.
-pub(super) struct Driven {
+/// The result of a commit.
+pub(super) struct CommitResult {
     pub(super) ledger: intents::Ledger,
-    /// In the order of the rows.
+    /// The outcome of each row, in the order of the rows.
     pub(super) outcomes: Vec<intents::Outcome>,
-    /// Whether the ledger knows all that stood when the commit began.
+    /// Whether the ledger contains every record that existed when the commit started.
     pub(super) has_read: bool,
 }
 
-/// Carries a commit out until it is done or `until` has passed.
+/// Executes the steps of a commit until it is done or `deadline` has passed.
 ///
-/// A step that was begun is ended: a write that is given up could still take effect.
+/// A started step is always completed, because an abandoned write could still take effect.
 pub(super) async fn drive(
-    parts: &parts::Parts,
+    part_store: &parts::PartStore,
     slot: &intents::Slot,
     mut commit: intents::Commit,
-    until: time::Instant,
-) -> Driven {
-    let mut pause = FIRST_PAUSE;
+    deadline: time::Instant,
+) -> CommitResult {
+    let mut backoff = INITIAL_BACKOFF;
     loop {
         let step = commit.next(unix_ms());
         if step == intents::Step::Done {
             break;
         }
-        let event = parts.carry_out(slot, step).await;
+        let event = part_store.execute(slot, step).await;
         let refused = event == intents::Event::Refused;
         commit.observe(event);
-        if time::Instant::now() >= until {
+        if time::Instant::now() >= deadline {
             break;
         }
         if refused {
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
     let has_read = commit.has_read();
     let (ledger, outcomes) = commit.finish(unix_ms());
-    Driven { ledger, outcomes, has_read }
+    CommitResult { ledger, outcomes, has_read }
 }
 
-/// Returns the wall clock, in milliseconds since the Unix epoch.
+/// Returns the wall-clock time, in milliseconds since the Unix epoch.
 pub(super) fn unix_ms() -> u64 {
-    let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/intents/export.rs
+++ b/crates/daemon/src/intents/export.rs
@@ -1,11 +1,11 @@
-//! Shows what the records cost for scraping.
+//! The metrics of the records.
 
 use opentelemetry::metrics;
 use trefoildyke_decide::coordinate;
 
 use crate::intents::{Counts, Handle};
 
-/// One counter: its name, what it counts and where it is read.
+/// A counter's name, its description and the function that reads its value.
 type Counter = (&'static str, &'static str, fn(&Counts) -> u64);
 
 const COUNTERS: [Counter; 11] = [
@@ -23,22 +23,22 @@
 ];
 
 impl Handle {
-    /// Lets `meter` read the counts, and whether records can be written, when it is scraped.
+    /// Registers the counters and a gauge of whether records can be written with `meter`.
     pub fn export(&self, meter: &metrics::Meter) {
-        for (name, about, read) in COUNTERS {
+        for (name, description, read) in COUNTERS {
             let stats = self.stats.clone();
             let observe = move |observer: &dyn metrics::AsyncInstrument<u64>| {
                 observer.observe(read(&stats.counts()), &[]);
             };
             meter
                 .u64_observable_counter(name)
-                .with_description(about)
+                .with_description(description)
                 .with_callback(observe)
                 .build();
         }
-        let outage = self.outage.clone();
+        let availability = self.availability.clone();
         let observe = move |observer: &dyn metrics::AsyncInstrument<u64>| {
-            let up = outage.state() == coordinate::ServiceState::Up;
+            let up = availability.state() == coordinate::ServiceState::Up;
             observer.observe(u64::from(up), &[]);
         };
         meter
--- a/crates/daemon/src/intents/forwarder.rs
+++ b/crates/daemon/src/intents/forwarder.rs
@@ -1,4 +1,4 @@
-//! Sends records to other members, many in one call.
+//! The forwarder, which sends records to other members in batches.
 
 use std::{collections, time};
 
@@ -8,21 +8,21 @@
 use trefoildyke_types::{error, id};
 use trefoildyke_wire::peer;
 
-use crate::intents::{Route, Stats, waiting};
+use crate::intents::{Route, Stats, job};
 
-/// How long records are gathered for one call; short, because the owner gathers as well.
-const GATHER: time::Duration = time::Duration::from_millis(1);
+/// How long records are collected for one call; short, because the owner collects records as well.
+const BATCH_WINDOW: time::Duration = time::Duration::from_millis(1);
 
-/// How many calls may be in flight.
-const CALLS: usize = 64;
+/// The maximum number of calls in flight.
+const MAX_CALLS: usize = 64;
 
-/// How many records one call carries at most; about 75 KB.
-const MOST: usize = 500;
+/// The maximum number of records in one call, about 75 KB, and in the calls of one batch together.
+const MAX_RECORDS: usize = 500;
 
-/// Holds a record and the member that should write it.
-pub(super) type Forward = (id::Incarnation, waiting::Waiting);
+/// A record and the member that is to write it.
+pub(super) type Forward = (id::Incarnation, job::PendingRecord);
 
-/// Sends records to other members.
+/// The task that sends records to other members.
 pub(super) struct Forwarder {
     pub(super) route: Route,
     pub(super) timeout: time::Duration,
@@ -31,70 +31,71 @@
 }
 
 impl Forwarder {
-    /// Sends until the token is cancelled, and then ends the calls in flight.
+    /// Sends batches until the token is cancelled, and then aborts the calls in flight.
     pub(super) async fn run(mut self, token: tokio_sync::CancellationToken) {
         let mut calls = task::JoinSet::new();
         loop {
             let first = tokio::select! {
                 () = token.cancelled() => break,
                 Some(_) = calls.join_next() => continue,
-                first = self.queue.recv(), if calls.len() < CALLS => match first {
+                first = self.queue.recv(), if calls.len() < MAX_CALLS => match first {
                     Some(first) => first,
                     None => break,
                 },
             };
-            tokio::time::sleep(GATHER).await;
-            for (member, batch) in self.gather(first) {
-                self.stats.call(batch.len());
-                calls.spawn(call(self.route.clone(), member, batch, self.timeout));
+            tokio::time::sleep(BATCH_WINDOW).await;
+            for (member, batch) in self.collect_batches(first) {
+                self.stats.count_call(batch.len());
+                calls.spawn(send_batch(self.route.clone(), member, batch, self.timeout));
             }
         }
         calls.shutdown().await;
     }
 
-    fn gather(
+    /// Returns the queued records, grouped by the member to which they are sent.
+    fn collect_batches(
         &mut self,
         first: Forward,
-    ) -> collections::BTreeMap<id::Incarnation, Vec<waiting::Waiting>> {
+    ) -> collections::BTreeMap<id::Incarnation, Vec<job::PendingRecord>> {
         let mut batches: collections::BTreeMap<_, Vec<_>> = collections::BTreeMap::new();
         let mut next = Some(first);
         let mut count = 0;
-        while let Some((member, waiting)) = next {
-            batches.entry(member).or_default().push(waiting);
+        while let Some((member, pending)) = next {
+            batches.entry(member).or_default().push(pending);
             count += 1;
-            next = if count < MOST { self.queue.try_recv().ok() } else { None };
+            next = if count < MAX_RECORDS { self.queue.try_recv().ok() } else { None };
         }
         batches
     }
 }
 
-async fn call(
+async fn send_batch(
     route: Route,
     member: id::Incarnation,
-    batch: Vec<waiting::Waiting>,
+    batch: Vec<job::PendingRecord>,
     timeout: time::Duration,
 ) {
-    let records = batch.iter().map(|waiting| (waiting.row.key.clone(), waiting.row.record.clone()));
+    let records = batch.iter().map(|pending| (pending.row.key.clone(), pending.row.record.clone()));
     let request = peer::CommitRequest { records: records.collect() };
     match (route.commit)(member, request, timeout).await {
         Ok(outcomes) if outcomes.len() == batch.len() => {
-            for (waiting, outcome) in batch.into_iter().zip(outcomes) {
-                waiting.answer(read_outcome(outcome));
+            for (pending, outcome) in batch.into_iter().zip(outcomes) {
+                pending.answer(outcome_from_peer(outcome));
             }
         }
         Err(error) if error.kind == error::ErrorKind::Unavailable => {
-            for waiting in batch {
-                waiting.answer(intents::Outcome::Unavailable);
+            for pending in batch {
+                pending.answer(intents::Outcome::Unavailable);
             }
         }
-        // Dropping the batch leaves its records unsure.
-        Ok(_) => log::error!("member {member} answered another number of records than were sent"),
-        Err(error) => log::debug!("member {member} left records unsure: {error}"),
+        // Dropping the batch reports the outcome of its records as unsure.
+        Ok(_) => log::error!("member {member} returned fewer or more outcomes than records"),
+        Err(error) => log::debug!("unknown outcome of records at member {member}: {error}"),
     }
 }
 
-/// Converts an outcome that a peer sent.
-pub(super) fn read_outcome(outcome: peer::CommitOutcome) -> intents::Outcome {
+/// Converts an outcome that was received from a peer.
+pub(super) fn outcome_from_peer(outcome: peer::CommitOutcome) -> intents::Outcome {
     match outcome {
         peer::CommitOutcome::Created => intents::Outcome::Created,
         peer::CommitOutcome::Exists(record) => intents::Outcome::Exists(record),
@@ -104,8 +105,8 @@
     }
 }
 
-/// Converts an outcome for a peer.
-pub(super) fn write_outcome(outcome: intents::Outcome) -> peer::CommitOutcome {
+/// Converts an outcome that is sent to a peer.
+pub(super) fn outcome_to_peer(outcome: intents::Outcome) -> peer::CommitOutcome {
     match outcome {
         intents::Outcome::Created => peer::CommitOutcome::Created,
         intents::Outcome::Exists(record) => peer::CommitOutcome::Exists(record),
--- a/crates/daemon/src/intents/handle.rs
+++ b/crates/daemon/src/intents/handle.rs
@@ -1,4 +1,4 @@
-//! What other services use to record requests and to look records up.
+//! The interface through which other services record requests and look records up.
 
 use std::sync;
 
@@ -7,16 +7,16 @@
 use trefoildyke_types::{error, id, request};
 use trefoildyke_wire::peer;
 
-use crate::intents::{Counts, Route, Settings, Stats, forwarder, outage, ready, waiting};
+use crate::intents::{Counts, Route, Settings, Stats, availability, commit_queues, forwarder, job};
 
-/// Records requests and looks records up. Clones use the same service.
+/// A handle that records requests and looks records up; clones use the same service.
 #[derive(Clone)]
 pub struct Handle {
     pub(super) settings: Settings,
     pub(super) route: Route,
-    pub(super) outage: outage::Outage,
+    pub(super) availability: availability::Availability,
     pub(super) stats: Stats,
-    pub(super) ready: watch::Receiver<Option<sync::Arc<ready::Ready>>>,
+    pub(super) commit_queues: watch::Receiver<Option<sync::Arc<commit_queues::CommitQueues>>>,
     pub(super) forward: mpsc::Sender<forwarder::Forward>,
 }
 
@@ -26,42 +26,42 @@
         &self.settings
     }
 
-    /// Returns what all daemons agree on, or what the settings ask for while it is not known.
+    /// Returns the layout on which all daemons agree, or that of the settings while it is unknown.
     pub fn layout(&self) -> intents::Layout {
-        let ready = self.ready.borrow();
-        ready.as_ref().map_or_else(|| self.settings.layout(), |ready| ready.layout)
+        let queues = self.commit_queues.borrow();
+        queues.as_ref().map_or_else(|| self.settings.layout(), |queues| queues.layout)
     }
 
-    /// Returns what the records have cost.
+    /// Returns the counts of reads, writes and records so far.
     pub fn stats(&self) -> Counts {
         self.stats.counts()
     }
 
     /// Returns whether records can be written, by this daemon or through a peer.
     pub fn service_state(&self) -> coordinate::ServiceState {
-        self.outage.state()
+        self.availability.state()
     }
 
-    /// Records a request if no record stands yet.
+    /// Records a request if it has no record yet.
     ///
-    /// A caller that repeats a record word for word, nonce included, is told `Created` if it
-    /// stands, so an unsure outcome can be settled by asking again. Takes at most a few times
-    /// `try_ms`.
+    /// A call with a record that is already stored, with the same nonce, returns `Created`, so an unsure
+    /// outcome can be resolved by repeating the call. If the identifier is too old to prove the creation,
+    /// the outcome is `Unsure`. Takes at most a few times `try_ms`.
     pub async fn record(
         &self,
         key: &id::RequestKey,
         record: &request::Record,
     ) -> coordinate::RecordOutcome {
         let row = intents::Row { key: key.clone(), record: record.clone() };
-        let Some(ready) = self.ready().await else {
+        let Some(queues) = self.wait_for_queues().await else {
             return self.record_through_peer(row).await.into();
         };
         let mut unsure = false;
-        for member in self.ways(&ready, key) {
+        for member in self.candidates(&queues, key) {
             let outcome = if member == self.route.own {
-                commit_here(&ready, row.clone()).await
+                commit_locally(&queues, row.clone()).await
             } else {
-                self.commit_there(member, row.clone()).await
+                self.commit_remotely(member, row.clone()).await
             };
             match outcome {
                 intents::Outcome::Created | intents::Outcome::Exists(_) => return outcome.into(),
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Looks a record up through the owner of its bucket, here, or through another peer.
+    /// Looks a record up through the owner of its bucket, in this daemon, or through another peer.
     ///
-    /// An absent record may still be written by whoever is writing it now.
+    /// A record that is absent may still be created by a write in progress.
     pub async fn look_up(&self, key: &id::RequestKey) -> coordinate::LookUp {
-        let ready = self.ready().await;
-        let ways = match &ready {
-            Some(ready) => self.ways(ready, key),
-            None => self.peers(key),
+        let queues = self.wait_for_queues().await;
+        let candidates = match &queues {
+            Some(queues) => self.candidates(queues, key),
+            None => self.other_members(key),
         };
-        for member in ways {
-            let found = match &ready {
-                Some(ready) if member == self.route.own => look_up_here(ready, key).await,
-                _ => self.look_up_there(member, key).await,
+        for member in candidates {
+            let found = match &queues {
+                Some(queues) if member == self.route.own => look_up_locally(queues, key).await,
+                _ => self.look_up_remotely(member, key).await,
             };
             if let Ok(found) = found {
                 return found.map_or(coordinate::LookUp::Absent, coordinate::LookUp::Found);
@@ -98,17 +98,17 @@
         coordinate::LookUp::Unavailable
     }
 
-    /// Serves the calls of peers that concern records.
+    /// Registers the methods with which peers commit records and look records up.
     pub fn serve_peers(&self, methods: &mut peer::Methods) {
-        let here = self.clone();
+        let handle = self.clone();
         methods.commit = peer::Methods::method(move |_, request| {
-            let here = here.clone();
-            async move { here.commit_for_peer(request).await }
+            let handle = handle.clone();
+            async move { handle.commit_for_peer(request).await }
         });
-        let here = self.clone();
+        let handle = self.clone();
         methods.look_up = peer::Methods::method(move |_, key| {
-            let here = here.clone();
-            async move { here.look_up_for_peer(&key).await }
+            let handle = handle.clone();
+            async move { handle.look_up_for_peer(&key).await }
         });
     }
 
@@ -116,43 +116,47 @@
         &self,
         request: peer::CommitRequest,
     ) -> Result<Vec<peer::CommitOutcome>, error::Error> {
-        let ready = self.ready().await.ok_or_else(no_layout)?;
-        // Never passed on again, even if this daemon believes another one the owner.
+        let queues = self.wait_for_queues().await.ok_or_else(layout_unknown)?;
+        // A forwarded record is not forwarded again, even if this daemon considers another one the owner.
         let commits = request
             .records
             .into_iter()
-            .map(|(key, record)| commit_here(&ready, intents::Row { key, record }));
+            .map(|(key, record)| commit_locally(&queues, intents::Row { key, record }));
         let outcomes = futures::future::join_all(commits).await;
-        Ok(outcomes.into_iter().map(forwarder::write_outcome).collect())
+        Ok(outcomes.into_iter().map(forwarder::outcome_to_peer).collect())
     }
 
     async fn look_up_for_peer(
         &self,
         key: &id::RequestKey,
     ) -> Result<Option<request::Record>, error::Error> {
-        let ready = self.ready().await.ok_or_else(no_layout)?;
-        look_up_here(&ready, key).await
+        let queues = self.wait_for_queues().await.ok_or_else(layout_unknown)?;
+        look_up_locally(&queues, key).await
     }
 
-    async fn look_up_there(
+    async fn look_up_remotely(
         &self,
         member: id::Incarnation,
         key: &id::RequestKey,
     ) -> Result<Option<request::Record>, error::Error> {
         let call = (self.route.look_up)(member, key.clone(), self.settings.try_time());
-        call.await.inspect(|_| self.outage.reached_through_peer())
+        call.await.inspect(|_| self.availability.record_peer_success())
     }
 
-    /// Returns the ways to a record's bucket, in the order in which they are tried.
-    fn ways(&self, ready: &ready::Ready, key: &id::RequestKey) -> Vec<id::Incarnation> {
-        self.route.ways(intents::Slot::owner_key(ready.layout.slot(key).bucket))
+    /// Returns the members through which a record's bucket can be reached, in the order of attempts.
+    fn candidates(
+        &self,
+        queues: &commit_queues::CommitQueues,
+        key: &id::RequestKey,
+    ) -> Vec<id::Incarnation> {
+        self.route.candidates(intents::Slot::owner_key(queues.layout.slot(key).bucket))
     }
 
-    /// Asks a member to write while this daemon does not know the layout.
+    /// Records a row through another member, because this daemon does not know the layout.
     async fn record_through_peer(&self, row: intents::Row) -> intents::Outcome {
         let mut unsure = false;
-        for member in self.peers(&row.key) {
-            match self.commit_there(member, row.clone()).await {
+        for member in self.other_members(&row.key) {
+            match self.commit_remotely(member, row.clone()).await {
                 intents::Outcome::Unavailable => {}
                 intents::Outcome::Unsure => unsure = true,
                 outcome => return outcome,
@@ -161,64 +165,72 @@
         if unsure { intents::Outcome::Unsure } else { intents::Outcome::Unavailable }
     }
 
-    async fn commit_there(&self, member: id::Incarnation, row: intents::Row) -> intents::Outcome {
-        let (waiting, outcome) = waiting::Waiting::new(row);
-        if self.forward.try_send((member, waiting)).is_err() {
+    async fn commit_remotely(
+        &self,
+        member: id::Incarnation,
+        row: intents::Row,
+    ) -> intents::Outcome {
+        let (pending, outcome) = job::PendingRecord::new(row);
+        if self.forward.try_send((member, pending)).is_err() {
             return intents::Outcome::Unavailable;
         }
         let outcome = outcome.await.unwrap_or(intents::Outcome::Unsure);
         if matches!(outcome, intents::Outcome::Created | intents::Outcome::Exists(_)) {
-            self.outage.reached_through_peer();
+            self.availability.record_peer_success();
         }
         outcome
     }
 
-    fn peers(&self, key: &id::RequestKey) -> Vec<id::Incarnation> {
+    /// Returns at most 2 members other than this daemon.
+    fn other_members(&self, key: &id::RequestKey) -> Vec<id::Incarnation> {
         let mut members = (self.route.owners)(key.stable_hash(), 3);
         members.retain(|member| *member != self.route.own);
         members.truncate(2);
         members
     }
 
-    /// Waits for the layout, but not for long.
-    async fn ready(&self) -> Option<sync::Arc<ready::Ready>> {
-        let mut ready = self.ready.clone();
-        let known = ready.wait_for(Option::is_some);
+    /// Waits at most `try_ms` for the layout and the queues.
+    async fn wait_for_queues(&self) -> Option<sync::Arc<commit_queues::CommitQueues>> {
+        let mut queues = self.commit_queues.clone();
+        let known = queues.wait_for(Option::is_some);
         let known = tokio::time::timeout(self.settings.try_time(), known).await.ok()?.ok()?;
         known.clone()
     }
 }
 
-async fn commit_here(ready: &ready::Ready, row: intents::Row) -> intents::Outcome {
-    let (waiting, outcome) = waiting::Waiting::new(row);
-    if !queue(ready, waiting::Job::Record(waiting)) {
+async fn commit_locally(
+    queues: &commit_queues::CommitQueues,
+    row: intents::Row,
+) -> intents::Outcome {
+    let (pending, outcome) = job::PendingRecord::new(row);
+    if !enqueue(queues, job::Job::Record(pending)) {
         return intents::Outcome::Unavailable;
     }
-    // A committer that ended may have written before.
+    // A committer that ended without an answer may have written the record.
     outcome.await.unwrap_or(intents::Outcome::Unsure)
 }
 
-async fn look_up_here(
-    ready: &ready::Ready,
+async fn look_up_locally(
+    queues: &commit_queues::CommitQueues,
     key: &id::RequestKey,
 ) -> Result<Option<request::Record>, error::Error> {
-    let (looking, found) = waiting::Looking::new(key.clone());
-    if !queue(ready, waiting::Job::LookUp(looking)) {
-        return Err(unread("too many records wait in the bucket"));
+    let (pending, found) = job::PendingLookUp::new(key.clone());
+    if !enqueue(queues, job::Job::LookUp(pending)) {
+        return Err(unavailable("too many records wait in the bucket"));
     }
-    found.await.map_err(|_| unread("the record could not be read"))
+    found.await.map_err(|_| unavailable("the record could not be read"))
 }
 
-/// Says whether the bucket had room.
-fn queue(ready: &ready::Ready, job: waiting::Job) -> bool {
-    let bucket = ready.layout.slot(job.key()).bucket;
-    ready.queues.get(bucket as usize).is_some_and(|queue| queue.try_send(job).is_ok())
+/// Adds a job to the queue of its bucket and returns whether the queue had room.
+fn enqueue(queues: &commit_queues::CommitQueues, job: job::Job) -> bool {
+    let bucket = queues.layout.slot(job.key()).bucket;
+    queues.senders.get(bucket as usize).is_some_and(|queue| queue.try_send(job).is_ok())
 }
 
-fn unread(message: &str) -> error::Error {
+fn unavailable(message: &str) -> error::Error {
     error::Error::new(error::ErrorKind::Unavailable, message)
 }
 
-fn no_layout() -> error::Error {
-    unread("the layout of records is not known yet")
+fn layout_unknown() -> error::Error {
+    unavailable("the layout of records is not known yet")
 }
--- a/crates/daemon/src/intents/parts.rs
+++ b/crates/daemon/src/intents/parts.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the parts of slots.
+//! The store of the parts of slots.
 
 use trefoildyke_decide::intents;
 use trefoildyke_types::error;
@@ -6,23 +6,23 @@
 
 use crate::intents::Stats;
 
-/// How many parts one read asks for.
-const PAGE: usize = 16;
+/// The maximum number of parts that one read returns.
+const PAGE_SIZE: usize = 16;
 
-/// Reads and writes the parts of slots in the key-value service.
+/// A store that reads and writes the parts of slots in the key-value service.
 #[derive(Clone, Debug)]
-pub(super) struct Parts {
+pub(super) struct PartStore {
     kv: platform::KvClient,
     stats: Stats,
 }
 
-impl Parts {
+impl PartStore {
     pub(super) const fn new(kv: platform::KvClient, stats: Stats) -> Self {
         Self { kv, stats }
     }
 
-    /// Carries out a commit's step, which is not [`intents::Step::Done`].
-    pub(super) async fn carry_out(
+    /// Executes a step of a commit; the step must not be [`intents::Step::Done`].
+    pub(super) async fn execute(
         &self,
         slot: &intents::Slot,
         step: intents::Step,
@@ -39,19 +39,19 @@
         }
     }
 
-    /// Reads some parts from `first` on; none if there are none.
+    /// Reads the parts from index `first` on, at most `PAGE_SIZE`; returns none if there are none.
     pub(super) async fn read(
         &self,
         slot: &intents::Slot,
         first: u32,
     ) -> Result<Vec<intents::Stored>, error::Error> {
-        self.stats.read();
+        self.stats.count_read();
         let after = match first.checked_sub(1) {
-            Some(before) => slot.part_key(before),
+            Some(previous) => slot.part_key(previous),
             None => String::new(),
         };
-        let list = message::List { prefix: slot.prefix(), after, limit: PAGE };
-        let reply = self.kv.list(&list).await.inspect_err(|_| self.stats.refuse())?;
+        let list = message::List { prefix: slot.prefix(), after, limit: PAGE_SIZE };
+        let reply = self.kv.list(&list).await.inspect_err(|_| self.stats.count_refused())?;
         reply.entries.iter().map(parse).collect()
     }
 
@@ -65,28 +65,28 @@
         let Ok(value) = serde_json::to_string(part) else {
             return intents::Event::Refused;
         };
-        self.stats.write(value.len());
+        self.stats.count_write(value.len());
         let key = slot.part_key(index);
         let put = message::Put { key, value, expect: Some(expect), lease: None };
         match self.kv.put(&put).await {
             Ok(written) => intents::Event::Written { revision: written.revision },
             Err(platform::WriteError::Conflict(current)) => self.conflict(current.as_deref()),
             Err(platform::WriteError::Unsure(_)) => {
-                self.stats.lose();
+                self.stats.count_lost();
                 intents::Event::Lost
             }
             Err(error) => {
-                self.stats.refuse();
-                log::debug!("a record was not written: {error}");
+                self.stats.count_refused();
+                log::debug!("failed to write records: {error}");
                 intents::Event::Refused
             }
         }
     }
 
     fn conflict(&self, current: Option<&message::Entry>) -> intents::Event {
-        self.stats.conflict();
+        self.stats.count_conflict();
         match current.map(parse).transpose() {
-            Ok(stands) => intents::Event::Conflict(stands),
+            Ok(existing) => intents::Event::Conflict(existing),
             Err(error) => {
                 log::error!("{error}");
                 intents::Event::Refused
@@ -96,13 +96,13 @@
 }
 
 fn parse(entry: &message::Entry) -> Result<intents::Stored, error::Error> {
-    let wrong = |detail: String| {
+    let invalid = |detail: String| {
         error::Error::new(error::ErrorKind::Protocol, detail)
             .about(&entry.key)
             .remedy("keep other programs from writing below intents/")
     };
     let (_, index) =
-        intents::Slot::parse(&entry.key).ok_or_else(|| wrong("the key names no part".into()))?;
-    let part = serde_json::from_str(&entry.value).map_err(|error| wrong(error.to_string()))?;
+        intents::Slot::parse(&entry.key).ok_or_else(|| invalid("the key names no part".into()))?;
+    let part = serde_json::from_str(&entry.value).map_err(|error| invalid(error.to_string()))?;
     Ok(intents::Stored { index, revision: entry.revision, part })
 }
--- a/crates/daemon/src/intents/route.rs
+++ b/crates/daemon/src/intents/route.rs
@@ -1,4 +1,4 @@
-//! Who owns a bucket, and how its owner is reached.
+//! The owners of buckets and the calls to them.
 
 use std::{sync, time};
 
@@ -6,12 +6,13 @@
 use trefoildyke_types::{error, id, request};
 use trefoildyke_wire::peer;
 
-/// Returns at most the given number of members for a key, the owner first.
+/// Returns at most the given number of members for a key hash, the owner first.
 pub type Owners = sync::Arc<dyn Fn(u64, usize) -> Vec<id::Incarnation> + Send + Sync>;
 
-/// Calls [`peer::Peer::commit`] at a member, with a deadline.
+/// Calls [`peer::Peer::commit`] of a member, with a timeout.
 ///
-/// An error of kind `Unavailable` says that the call was not sent; any other leaves it unsure.
+/// An error of kind `Unavailable` means that the call was not sent; after any other error, the outcome is
+/// unsure.
 pub type CommitCall = sync::Arc<
     dyn Fn(
             id::Incarnation,
@@ -22,7 +23,7 @@
         + Sync,
 >;
 
-/// Calls [`peer::Peer::look_up`] at a member, with a deadline.
+/// Calls [`peer::Peer::look_up`] of a member, with a timeout.
 pub type LookUpCall = sync::Arc<
     dyn Fn(
             id::Incarnation,
@@ -33,12 +34,12 @@
         + Sync,
 >;
 
-/// Says who owns a bucket, and how its owner is reached.
+/// The owners of buckets and the calls to them.
 #[derive(Clone)]
 pub struct Route {
-    /// This daemon.
+    /// The incarnation of this daemon.
     pub own: id::Incarnation,
-    /// Finds the owners of a bucket.
+    /// Returns the owner of a bucket and the members that follow it.
     pub owners: Owners,
     /// Writes records through a member.
     pub commit: CommitCall,
@@ -58,24 +59,24 @@
         }
     }
 
-    /// Returns the ways to write a record of a bucket, in the order in which they are tried: the
-    /// owner, this daemon, another member.
-    pub(super) fn ways(&self, owner_key: u64) -> Vec<id::Incarnation> {
+    /// Returns the members that can write a record of a bucket, in the order of attempts: the owner, this
+    /// daemon, another member.
+    pub(super) fn candidates(&self, owner_key: u64) -> Vec<id::Incarnation> {
         let owners = (self.owners)(owner_key, 3);
-        let mut ways: Vec<_> = owners.first().copied().into_iter().collect();
-        if !ways.contains(&self.own) {
-            ways.push(self.own);
+        let mut candidates: Vec<_> = owners.first().copied().into_iter().collect();
+        if !candidates.contains(&self.own) {
+            candidates.push(self.own);
         }
-        ways.extend(owners.into_iter().skip(1).find(|member| *member != self.own));
-        ways
+        candidates.extend(owners.into_iter().skip(1).find(|member| *member != self.own));
+        candidates
     }
 
-    /// Returns how many members there are.
-    pub(super) fn members(&self) -> usize {
+    /// Returns the number of members.
+    pub(super) fn member_count(&self) -> usize {
         (self.owners)(0, usize::MAX).len()
     }
 
-    /// Returns whether this daemon owns a key.
+    /// Returns whether this daemon owns a key; also true if no member is known.
     pub(super) fn owns(&self, key: u64) -> bool {
         (self.owners)(key, 1).first().is_none_or(|owner| *owner == self.own)
     }
--- a/crates/daemon/src/intents/service.rs
+++ b/crates/daemon/src/intents/service.rs
@@ -1,4 +1,4 @@
-//! The service's tasks.
+//! The intent service and its background tasks.
 
 use std::{collections, sync, time};
 
@@ -9,39 +9,40 @@
 use trefoildyke_wire::platform;
 
 use crate::intents::{
-    Handle, Route, Settings, Stats, agreement, committer, forwarder, outage, parts, ready, sweep,
-    waiting,
+    Handle, Route, Settings, Stats, agreement, availability, commit_queues, committer, forwarder,
+    job, parts, sweep,
 };
 
-/// How often a daemon that is cut off asks whether the service answers again, at least.
-const PROBE: time::Duration = time::Duration::from_millis(500);
+/// The minimum interval between two probes of a key-value service that does not answer.
+const MIN_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// How many daemons ask in a second, together and at most.
-const PROBES_PER_S: u32 = 100;
+/// The maximum number of probes per second that all daemons send together.
+const MAX_PROBES_PER_S: u32 = 100;
 
-/// Holds the service until it runs.
+/// The service before it runs.
 pub struct Service {
     common: Common,
     forwarder: forwarder::Forwarder,
-    ready: watch::Sender<Option<sync::Arc<ready::Ready>>>,
+    commit_queues: watch::Sender<Option<sync::Arc<commit_queues::CommitQueues>>>,
 }
 
-/// What the service's tasks share.
+/// The state that the service's tasks share.
 struct Common {
     settings: Settings,
     route: Route,
     kv: platform::KvClient,
     stats: Stats,
-    outage: outage::Outage,
+    availability: availability::Availability,
 }
 
 /// Creates the service and its handle.
 ///
-/// A call of the service takes at most `try_ms`, because a write that was begun is waited for.
+/// The timeout of a call to the key-value service is at most `try_ms`, because a started write is always
+/// awaited.
 ///
 /// # Errors
 ///
-/// An error of kind `Invalid` if the settings do not fit together.
+/// Fails with `Invalid` if a setting is out of range or the settings contradict each other.
 pub fn create(
     settings: Settings,
     route: Route,
@@ -50,15 +51,15 @@
     settings.check()?;
     let kv = kv.at_most(settings.try_time());
     let (forward, queue) = mpsc::channel(settings.waiting);
-    let (ready, seen) = watch::channel(None);
+    let (commit_queues, receiver) = watch::channel(None);
     let stats = Stats::default();
-    let outage = outage::Outage::new(kv.clone());
+    let availability = availability::Availability::new(kv.clone());
     let handle = Handle {
         settings,
         route: route.clone(),
-        outage: outage.clone(),
+        availability: availability.clone(),
         stats: stats.clone(),
-        ready: seen,
+        commit_queues: receiver,
         forward,
     };
     let forwarder = forwarder::Forwarder {
@@ -67,36 +68,39 @@
         stats: stats.clone(),
         queue,
     };
-    let common = Common { settings, route, kv, stats, outage };
-    Ok((handle, Service { common, forwarder, ready }))
+    let common = Common { settings, route, kv, stats, availability };
+    Ok((handle, Service { common, forwarder, commit_queues }))
 }
 
 impl Service {
-    /// Runs until the token is cancelled, and joins every task.
+    /// Runs until the token is cancelled and every task has ended.
     pub async fn run(self, token: tokio_sync::CancellationToken) {
-        let Self { common, forwarder, ready } = self;
+        let Self { common, forwarder, commit_queues } = self;
         let mut tasks = task::JoinSet::new();
         tasks.spawn(until_cancelled(token.clone(), common.probe()));
         tasks.spawn(forwarder.run(token.clone()));
-        let agreed = agreement::agree(&common.kv, common.settings.layout());
-        if let Some(layout) = token.run_until_cancelled(agreed).await {
+        let agreement = agreement::agree(&common.kv, common.settings.layout());
+        if let Some(layout) = token.run_until_cancelled(agreement).await {
             tasks.spawn(until_cancelled(token.clone(), common.sweep(layout)));
-            let queues = (0..layout.buckets).map(|_| {
+            let senders = (0..layout.buckets).map(|_| {
                 let (queue, committer) = common.committer(layout);
                 tasks.spawn(committer.run(token.clone()));
                 queue
             });
-            let queues = queues.collect();
-            ready.send_replace(Some(sync::Arc::new(ready::Ready { layout, queues })));
+            let senders = senders.collect();
+            commit_queues.send_replace(Some(sync::Arc::new(commit_queues::CommitQueues {
+                layout,
+                senders,
+            })));
         }
         while tasks.join_next().await.is_some() {}
-        ready.send_replace(None);
+        commit_queues.send_replace(None);
     }
 }
 
 impl Common {
     fn probe(&self) -> impl Future<Output = ()> + use<> {
-        probe(self.outage.clone(), self.kv.clone(), self.route.clone())
+        probe(self.availability.clone(), self.kv.clone(), self.route.clone())
     }
 
     fn sweep(&self, layout: intents::Layout) -> impl Future<Output = ()> + use<> {
@@ -109,15 +113,12 @@
         sweep.run()
     }
 
-    fn committer(
-        &self,
-        layout: intents::Layout,
-    ) -> (mpsc::Sender<waiting::Job>, committer::Committer) {
+    fn committer(&self, layout: intents::Layout) -> (mpsc::Sender<job::Job>, committer::Committer) {
         let (sender, queue) = mpsc::channel(self.settings.waiting);
         let committer = committer::Committer {
             settings: self.settings,
             layout,
-            parts: parts::Parts::new(self.kv.clone(), self.stats.clone()),
+            part_store: parts::PartStore::new(self.kv.clone(), self.stats.clone()),
             stats: self.stats.clone(),
             queue,
             origin: time::Instant::now(),
@@ -127,20 +128,20 @@
     }
 }
 
-/// Asks whether the service answers again while this daemon is cut off from it.
-async fn probe(outage: outage::Outage, kv: platform::KvClient, route: Route) {
+/// Probes the key-value service as long as it does not answer this daemon.
+async fn probe(availability: availability::Availability, kv: platform::KvClient, route: Route) {
     loop {
-        let members = u32::try_from(route.members()).unwrap_or(u32::MAX);
-        let share = time::Duration::from_secs(1) * members / PROBES_PER_S;
-        tokio::time::sleep(share.max(PROBE)).await;
-        if outage.is_cut_off() {
-            // The client keeps whether an answer came.
+        let members = u32::try_from(route.member_count()).unwrap_or(u32::MAX);
+        let interval = time::Duration::from_secs(1) * members / MAX_PROBES_PER_S;
+        tokio::time::sleep(interval.max(MIN_PROBE_INTERVAL)).await;
+        if availability.is_disconnected() {
+            // The client tracks in its health whether the service answered.
             let _ = kv.get(intents::Layout::KEY).await;
         }
     }
 }
 
-/// Runs a task that can end at any point.
+/// Runs a task that can be cancelled at any await point.
 async fn until_cancelled(token: tokio_sync::CancellationToken, task: impl Future<Output = ()>) {
     token.run_until_cancelled(task).await;
 }
--- a/crates/daemon/src/intents/settings.rs
+++ b/crates/daemon/src/intents/settings.rs
@@ -1,42 +1,42 @@
-//! Settings of the records.
+//! Settings of the intent service.
 
 use std::time;
 
 use trefoildyke_decide::intents;
 use trefoildyke_types::error;
 
-/// Settings of the records.
+/// The settings of the intent service, which records requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
     /// Which requests are recorded.
     pub coverage: intents::Coverage,
-    /// Into how many buckets the records are divided.
+    /// The number of buckets into which the records are divided; at least 1.
     ///
-    /// The first daemon writes this, `slice_ms`, `keep_ms` and `skew_ms` to the key-value service;
-    /// what stands there wins over later settings.
+    /// The first daemon writes this, `slice_ms`, `keep_ms` and `skew_ms` to the key-value service. The
+    /// stored values take precedence over the settings of daemons that start later.
     pub buckets: u32,
-    /// The length of a time slice in milliseconds.
+    /// The length of a time slice in milliseconds; at least 1.
     pub slice_ms: u64,
-    /// The least time between two commits of a bucket, in milliseconds.
+    /// The minimum interval between two commits of a bucket, in milliseconds; at least 1.
     pub window_ms: u64,
-    /// The most writes that all buckets together may make in a second.
+    /// The maximum number of writes per second by all buckets together.
     pub writes_per_s: u32,
-    /// The bytes at which a part is sealed and the next one begun.
+    /// The size in bytes at which a part is sealed and the next part is started; from 2,048 to 1,048,576.
     pub part_bytes: usize,
-    /// How long after its creation an identifier can be used, in milliseconds.
+    /// How long after its creation an identifier can be used, in milliseconds; at least 1.
     pub keep_ms: u64,
-    /// The largest difference between the clocks of two hosts, in milliseconds.
+    /// The maximum clock skew between two hosts, in milliseconds.
     pub skew_ms: u64,
-    /// How long one way of writing a record may take, in milliseconds: by the owner, by this
-    /// daemon, by another peer.
+    /// The timeout of one attempt to write a record, in milliseconds; at least 1. The attempts go through
+    /// the owner, this daemon and another peer.
     pub try_ms: u64,
-    /// How many records may wait in one bucket.
+    /// The maximum number of records and look-ups that wait in one bucket; at least 1.
     pub waiting: usize,
 }
 
-const MAX_PART: usize = 1 << 20;
-const MIN_PART: usize = 2048;
+const MAX_PART_BYTES: usize = 1 << 20;
+const MIN_PART_BYTES: usize = 2048;
 
 impl Default for Settings {
     fn default() -> Self {
@@ -56,27 +56,27 @@
 }
 
 impl Settings {
-    /// Returns the layout that the settings ask for.
+    /// Returns the layout that the settings define.
     pub const fn layout(&self) -> intents::Layout {
         let retention = intents::Retention { keep_ms: self.keep_ms, skew_ms: self.skew_ms };
         intents::Layout { buckets: self.buckets, slice_ms: self.slice_ms, retention }
     }
 
-    /// Returns the least time between two commits of a bucket.
+    /// Returns the minimum interval between two commits of a bucket.
     pub const fn window(&self) -> time::Duration {
         time::Duration::from_millis(self.window_ms)
     }
 
-    /// Returns how long one way of writing a record may take.
+    /// Returns the timeout of one attempt to write a record.
     pub const fn try_time(&self) -> time::Duration {
         time::Duration::from_millis(self.try_ms)
     }
 
-    /// Checks that the settings fit together.
+    /// Checks the ranges of the settings and that the buckets cannot exceed `writes_per_s`.
     ///
     /// # Errors
     ///
-    /// An error of kind `Invalid` that names the field.
+    /// Fails with `Invalid` and the name of the field.
     pub fn check(&self) -> Result<(), error::Error> {
         for (field, value) in [
             ("intents.buckets", u64::from(self.buckets)),
@@ -90,8 +90,8 @@
                 return Err(invalid(field, "it is 0", "use 1 or more"));
             }
         }
-        if !(MIN_PART..=MAX_PART).contains(&self.part_bytes) {
-            let remedy = format!("use {MIN_PART} to {MAX_PART}");
+        if !(MIN_PART_BYTES..=MAX_PART_BYTES).contains(&self.part_bytes) {
+            let remedy = format!("use {MIN_PART_BYTES} to {MAX_PART_BYTES}");
             return Err(invalid("intents.part_bytes", "it is out of range", &remedy));
         }
         let writes = u64::from(self.buckets) * 1000 / self.window_ms;
--- a/crates/daemon/src/intents/stats.rs
+++ b/crates/daemon/src/intents/stats.rs
@@ -1,8 +1,8 @@
-//! What the records cost.
+//! Counts of the records, reads and writes.
 
 use std::sync::{Arc, atomic};
 
-/// Counts what the records cost. Clones share the counts.
+/// Counters of the records, reads and writes; clones share the counters.
 #[derive(Clone, Debug, Default)]
 pub struct Stats(Arc<Inner>);
 
@@ -21,31 +21,31 @@
     deleted: atomic::AtomicU64,
 }
 
-/// Holds the counts at one moment.
+/// The values of the counters at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counts {
-    /// Records that this daemon committed, for itself and for peers.
+    /// Records in the batches that this daemon committed for itself and for peers, whatever the outcome.
     pub rows: u64,
-    /// Batches that they were committed in.
+    /// Batches in which the records were committed.
     pub batches: u64,
     /// Writes to the key-value service.
     pub writes: u64,
     /// Reads from the key-value service.
     pub reads: u64,
-    /// Writes that found another daemon's write.
+    /// Writes that conflicted with another write.
     pub conflicts: u64,
     /// Writes whose answer was lost.
     pub lost: u64,
-    /// Writes and reads that were refused or not answered.
+    /// Failed writes and reads, except conflicts and writes whose answer was lost.
     pub refused: u64,
-    /// Bytes of the values written.
+    /// Bytes of the values in all writes, including writes that failed.
     pub written_bytes: u64,
     /// Records that were sent to a peer.
     pub forwarded: u64,
-    /// Calls that they were sent in.
+    /// Calls in which records were sent to a peer.
     pub calls: u64,
-    /// Parts deleted after their retention.
+    /// Parts that were deleted after the end of their retention.
     pub deleted: u64,
 }
 
@@ -68,42 +68,42 @@
         }
     }
 
-    pub(super) fn batch(&self, rows: usize) {
+    pub(super) fn count_batch(&self, rows: usize) {
         add(&self.0.batches, usize::from(rows > 0));
         add(&self.0.rows, rows);
     }
 
-    pub(super) fn call(&self, rows: usize) {
+    pub(super) fn count_call(&self, rows: usize) {
         add(&self.0.calls, 1);
         add(&self.0.forwarded, rows);
     }
 
-    pub(super) fn write(&self, bytes: usize) {
+    pub(super) fn count_write(&self, bytes: usize) {
         add(&self.0.writes, 1);
         add(&self.0.written_bytes, bytes);
     }
 
-    pub(super) fn read(&self) {
+    pub(super) fn count_read(&self) {
         add(&self.0.reads, 1);
     }
 
-    pub(super) fn conflict(&self) {
+    pub(super) fn count_conflict(&self) {
         add(&self.0.conflicts, 1);
     }
 
-    pub(super) fn lose(&self) {
+    pub(super) fn count_lost(&self) {
         add(&self.0.lost, 1);
     }
 
-    pub(super) fn refuse(&self) {
+    pub(super) fn count_refused(&self) {
         add(&self.0.refused, 1);
     }
 
-    pub(super) fn delete(&self) {
+    pub(super) fn count_deleted(&self) {
         add(&self.0.deleted, 1);
     }
 }
 
-fn add(count: &atomic::AtomicU64, more: usize) {
-    count.fetch_add(more as u64, atomic::Ordering::Relaxed);
+fn add(count: &atomic::AtomicU64, amount: usize) {
+    count.fetch_add(amount as u64, atomic::Ordering::Relaxed);
 }
--- a/crates/daemon/src/intents/sweep.rs
+++ b/crates/daemon/src/intents/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes slots whose retention is over.
+//! The sweep, which deletes slots whose retention has ended.
 
 use std::time;
 
@@ -8,19 +8,19 @@
 
 use crate::intents::{Route, Stats, driver};
 
-/// How many parts one read shows.
-const PAGE: usize = 8;
+/// The maximum number of parts that one list call returns.
+const PAGE_SIZE: usize = 8;
 
-/// The least time between two deletions, so that a sweep leaves the service's writes to others.
-const PACE: time::Duration = time::Duration::from_millis(50);
+/// The minimum interval between two deletions, which leaves write capacity of the service to others.
+const DELETE_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// The bucket number whose owner sweeps; no real bucket has it.
-const SWEEPER: u32 = u32::MAX;
+/// The reserved bucket number whose owner sweeps; no bucket with records has this number.
+const SWEEP_BUCKET: u32 = u32::MAX;
 
-/// Deletes slots whose retention is over.
+/// The task that deletes slots whose retention has ended.
 ///
-/// Any number of daemons may sweep at once. Parts of a slot are deleted in order, so that a slot
-/// with parts missing is recognised by its first.
+/// Any number of daemons may sweep at the same time. The parts of a slot are deleted in order, so that a
+/// partly deleted slot can be recognized by its missing first part.
 pub(super) struct Sweep {
     pub(super) layout: intents::Layout,
     pub(super) route: Route,
@@ -29,14 +29,14 @@
 }
 
 impl Sweep {
-    /// Sweeps twice in each time slice; it can end at any point.
+    /// Sweeps twice per time slice; can be cancelled at any await point.
     pub(super) async fn run(self) {
         let pause = time::Duration::from_millis((self.layout.slice_ms / 2).max(1));
         loop {
-            if self.route.owns(intents::Slot::owner_key(SWEEPER))
+            if self.route.owns(intents::Slot::owner_key(SWEEP_BUCKET))
                 && let Err(error) = self.sweep().await
             {
-                log::debug!("old records were not deleted: {error}");
+                log::debug!("failed to delete expired records: {error}");
             }
             tokio::time::sleep(pause).await;
         }
@@ -44,25 +44,25 @@
 
     async fn sweep(&self) -> Result<(), error::Error> {
         let prefix = intents::Slot::PREFIX.to_owned();
-        let list = message::List { prefix, after: String::new(), limit: PAGE };
+        let list = message::List { prefix, after: String::new(), limit: PAGE_SIZE };
         loop {
             let found = self.kv.list(&list).await?.entries;
-            let is_over = |entry: &&message::Entry| self.is_over(&entry.key);
-            let over: Vec<_> = found.iter().take_while(is_over).collect();
-            for entry in &over {
+            let is_expired = |entry: &&message::Entry| self.is_expired(&entry.key);
+            let expired: Vec<_> = found.iter().take_while(is_expired).collect();
+            for entry in &expired {
                 let key = entry.key.clone();
                 let delete = message::Delete { key, expect: Some(entry.revision) };
                 self.kv.delete(&delete).await.map_err(|error| error.error())?;
-                self.stats.delete();
-                tokio::time::sleep(PACE).await;
+                self.stats.count_deleted();
+                tokio::time::sleep(DELETE_INTERVAL).await;
             }
-            if over.len() < PAGE {
+            if expired.len() < PAGE_SIZE {
                 return Ok(());
             }
         }
     }
 
-    fn is_over(&self, key: &str) -> bool {
+    fn is_expired(&self, key: &str) -> bool {
         let Some((slot, _)) = intents::Slot::parse(key) else {
             return false;
         };
