--- a/crates/daemon/src/config/handle.rs
+++ b/crates/daemon/src/config/handle.rs
@@ -1,4 +1,4 @@
-//! What the other services use.
+//! The interface of the configuration service for the other services.
 
 use std::sync;
 
@@ -9,7 +9,7 @@
 
 use crate::config::{Settings, keeper, store, writer};
 
-/// Reads and changes the configuration; published as `config`.
+/// A handle that reads and changes the configuration.
 #[derive(Clone)]
 pub struct Handle {
     pub(crate) commands: mpsc::Sender<keeper::Command>,
@@ -19,23 +19,25 @@
 }
 
 impl Handle {
-    /// Returns the snapshot in force.
+    /// Returns the current snapshot.
     pub fn snapshot(&self) -> sync::Arc<config::Snapshot> {
         sync::Arc::clone(&self.snapshots.borrow())
     }
 
-    /// Returns a receiver of every later snapshot; versions it shows only rise.
+    /// Returns a receiver of the current and later snapshots, whose versions only increase.
+    ///
+    /// The receiver may skip snapshots.
     pub fn subscribe(&self) -> watch::Receiver<sync::Arc<config::Snapshot>> {
         self.snapshots.clone()
     }
 
-    /// Makes a change and returns the snapshot that contains it, once the write is confirmed.
+    /// Makes a change and returns the snapshot that contains it once the write is confirmed.
     ///
     /// # Errors
     ///
-    /// Fails as [`config::apply`] does, with `Unavailable` if the key-value service does not
-    /// answer and nothing was written, and with `Unsure` if the change may have been or may still
-    /// be written.
+    /// Fails in the same cases as [`config::apply`], with `Unavailable` if the key-value service does not
+    /// answer and the change cannot take effect, and with `Unsure` if the change may have taken or may
+    /// still take effect.
     pub async fn write(
         &self,
         set: &config::ChangeSet,
@@ -43,7 +45,7 @@
         writer::write(self, set).await
     }
 
-    /// Answers a peer that asks for changes.
+    /// Returns the answer to a peer that requests changes.
     ///
     /// # Errors
     ///
@@ -55,13 +57,13 @@
         let (reply, answer) = oneshot::channel();
         self.send(keeper::Command::Answer(request.from, request.after, reply)).await?;
         let (version, answer) = answer.await.map_err(|_| stopping())?;
-        // As JSON, since MessagePack cannot hold an address within a flattened resource.
-        let text = serde_json::to_string(&answer).map_err(|error| broken(&error))?;
-        let body = peer::Payload::encode(&text).map_err(|error| broken(&error))?;
+        // Encoded as JSON, because MessagePack cannot represent an address in a flattened resource.
+        let text = serde_json::to_string(&answer).map_err(|error| protocol_error(&error))?;
+        let body = peer::Payload::encode(&text).map_err(|error| protocol_error(&error))?;
         Ok(peer::Changes { version, body })
     }
 
-    /// Adopts changes; those in force already are skipped.
+    /// Adopts changes; skips those that the current snapshot already contains.
     pub(crate) async fn extend(
         &self,
         changes: Vec<storage::Change>,
@@ -71,7 +73,7 @@
         outcome.await.map_err(|_| stopping())?
     }
 
-    /// Adopts a whole snapshot, unless a newer one is in force.
+    /// Adopts a complete snapshot if it is newer than the current one.
     pub(crate) async fn replace(
         &self,
         snapshot: sync::Arc<config::Snapshot>,
@@ -91,6 +93,6 @@
         .remedy("ask another daemon")
 }
 
-fn broken(error: &dyn std::error::Error) -> error::Error {
+fn protocol_error(error: &dyn std::error::Error) -> error::Error {
     error::Error::new(error::ErrorKind::Protocol, error.to_string())
 }
--- a/crates/daemon/src/config/keeper.rs
+++ b/crates/daemon/src/config/keeper.rs
@@ -1,4 +1,4 @@
-//! The one owner of the version in force.
+//! The only owner of the current configuration.
 
 use std::sync;
 
@@ -6,41 +6,42 @@
 use trefoildyke_decide::config::{self, storage};
 use trefoildyke_types::{error, resource};
 
-/// How many commands may wait for the keeper.
-pub(crate) const COMMANDS: usize = 64;
+/// The maximum number of commands that wait for the keeper.
+pub(crate) const QUEUE_CAPACITY: usize = 64;
 
-type Outcome = Result<sync::Arc<config::Snapshot>, error::Error>;
+type AdoptResult = Result<sync::Arc<config::Snapshot>, error::Error>;
 
-/// Asks the keeper for something; the answer goes to the sender inside.
+/// A command to the keeper, with the sender for its result.
 pub(crate) enum Command {
-    /// Adopt changes.
-    Extend(Vec<storage::Change>, oneshot::Sender<Outcome>),
-    /// Adopt a whole snapshot.
-    Replace(sync::Arc<config::Snapshot>, oneshot::Sender<Outcome>),
-    /// Answer a peer.
+    /// Adopts changes.
+    Extend(Vec<storage::Change>, oneshot::Sender<AdoptResult>),
+    /// Adopts a complete snapshot.
+    Replace(sync::Arc<config::Snapshot>, oneshot::Sender<AdoptResult>),
+    /// Returns the current version and the answer to a peer that has the given version and has read
+    /// pages up to the given key.
     Answer(u64, Option<resource::ResourceKey>, oneshot::Sender<(u64, storage::Answer)>),
 }
 
-/// Runs until every handle is gone.
+/// Handles commands until every handle is dropped.
 ///
-/// Only this function changes the version in force, and [`storage::History`] lets it only rise.
+/// Only this function changes the current version, and [`storage::History`] only lets it increase.
 pub(crate) async fn run(
     mut commands: mpsc::Receiver<Command>,
     snapshots: watch::Sender<sync::Arc<config::Snapshot>>,
 ) {
     let mut history = storage::History::default();
     while let Some(command) = commands.recv().await {
-        serve(&mut history, command);
-        let rose = history.snapshot().version() > snapshots.borrow().version();
-        if rose {
+        handle_command(&mut history, command);
+        let increased = history.snapshot().version() > snapshots.borrow().version();
+        if increased {
             log::info!(target: "config", "version {} is in force", history.snapshot().version());
             snapshots.send_replace(sync::Arc::clone(history.snapshot()));
         }
     }
 }
 
-/// Serves one command; an asker that has gone needs no answer.
-fn serve(history: &mut storage::History, command: Command) {
+/// Handles one command; the result is discarded if the sender of the command no longer waits.
+fn handle_command(history: &mut storage::History, command: Command) {
     match command {
         Command::Extend(changes, reply) => {
             let outcome = history.extend(changes).map(|_| sync::Arc::clone(history.snapshot()));
--- a/crates/daemon/src/config/learner.rs
+++ b/crates/daemon/src/config/learner.rs
@@ -1,4 +1,4 @@
-//! Learning of versions from peers.
+//! The learner, which reads new versions from peers.
 
 use std::sync;
 
@@ -13,10 +13,10 @@
 
 use crate::config::{Handle, Peers};
 
-/// Reads changes from a peer that announced a higher version.
+/// Reads changes from the peer that announced the highest version.
 ///
-/// A daemon that has no version yet asks any peer, without waiting for an announcement. Otherwise
-/// nothing is asked at random, since that would open a connection to every peer in time.
+/// A daemon without a version asks a random peer, without waiting for an announcement. Otherwise no random
+/// peer is asked, because that would over time open a connection to every peer.
 pub(crate) async fn run(handle: Handle, mut peers: Peers) {
     let mut poll = time::interval(handle.settings.poll());
     poll.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -29,17 +29,17 @@
             }
             _ = poll.tick() => {}
         }
-        let Some(source) = source(&handle, &peers) else {
+        let Some(source) = choose_source(&handle, &peers) else {
             continue;
         };
         if let Err(error) = pull(&handle, &peers, source).await {
-            log::info!(target: "config", "no changes from peer {source}: {error}");
+            log::info!(target: "config", "failed to read changes from peer {source}: {error}");
         }
     }
 }
 
-/// Returns whom to ask, if anybody.
-fn source(handle: &Handle, peers: &Peers) -> Option<id::Incarnation> {
+/// Returns the peer from which to read, or `None` if no read is needed or possible.
+fn choose_source(handle: &Handle, peers: &Peers) -> Option<id::Incarnation> {
     let own = handle.snapshot().version();
     let announced = peers.newest.borrow().filter(|newest| newest.version > own);
     match announced {
@@ -54,23 +54,23 @@
     others.choose(&mut rand::rng()).map(|member| member.incarnation)
 }
 
-/// Reads what this daemon lacks from one peer and adopts it.
+/// Reads from a peer what this daemon lacks, and adopts it.
 async fn pull(handle: &Handle, peers: &Peers, source: id::Incarnation) -> Result<(), error::Error> {
     let from = handle.snapshot().version();
     let mut request = peer::ChangesRequest { from, after: None };
-    let mut whole = Vec::new();
-    let mut first = None;
+    let mut all_resources = Vec::new();
+    let mut page_version = None;
     loop {
-        match ask(peers, source, request.clone()).await? {
+        match request_changes(peers, source, request.clone()).await? {
             storage::Answer::Changes(changes) => return handle.extend(changes).await.map(|_| ()),
             storage::Answer::Page { version, resources, more } => {
-                if *first.get_or_insert(version) != version {
-                    return Err(moved(version));
+                if *page_version.get_or_insert(version) != version {
+                    return Err(version_changed(version));
                 }
                 request.after = resources.last().map(trefoildyke_types::resource::Resource::key);
-                whole.extend(resources);
+                all_resources.extend(resources);
                 if !more {
-                    let snapshot = sync::Arc::new(config::Snapshot::of(version, whole));
+                    let snapshot = sync::Arc::new(config::Snapshot::of(version, all_resources));
                     return handle.replace(snapshot).await.map(|_| ());
                 }
             }
@@ -78,21 +78,21 @@
     }
 }
 
-async fn ask(
+async fn request_changes(
     peers: &Peers,
     source: id::Incarnation,
     request: peer::ChangesRequest,
 ) -> Result<storage::Answer, error::Error> {
     let changes = (peers.pull)(source, request).await?;
-    let text: String = changes.body.decode().map_err(|error| protocol(&error))?;
-    serde_json::from_str(&text).map_err(|error| protocol(&error))
+    let text: String = changes.body.decode().map_err(|error| protocol_error(&error))?;
+    serde_json::from_str(&text).map_err(|error| protocol_error(&error))
 }
 
-fn moved(version: u64) -> error::Error {
-    let message = format!("the peer went on to version {version} while its pages were read");
+fn version_changed(version: u64) -> error::Error {
+    let message = format!("the peer changed to version {version} while its pages were read");
     error::Error::new(error::ErrorKind::Unavailable, message)
 }
 
-fn protocol(error: &dyn std::error::Error) -> error::Error {
+fn protocol_error(error: &dyn std::error::Error) -> error::Error {
     error::Error::new(error::ErrorKind::Protocol, error.to_string())
 }
--- a/crates/daemon/src/config/mod.rs
+++ b/crates/daemon/src/config/mod.rs
@@ -1,10 +1,10 @@
-//! The configuration service: the version in force and how it becomes the next one.
+//! The configuration service, which holds the current configuration and adopts new versions.
 //!
 //! - [`Handle::write`] makes a change by one compare-and-swap in the key-value service.
-//! - A few daemons, found by rendezvous hashing, watch the key-value service.
-//! - The others learn of a new version from their peers and read the changes from them.
+//! - A few daemons, selected by rendezvous hashing, watch the key-value service.
+//! - The other daemons are told of a new version by their peers and read the changes from a peer.
 //!
-//! The version in force only rises, whatever the key-value service or a peer says.
+//! The current version only increases, even if the key-value service or a peer reports an older one.
 
 mod handle;
 mod keeper;
--- a/crates/daemon/src/config/peers.rs
+++ b/crates/daemon/src/config/peers.rs
@@ -1,4 +1,4 @@
-//! What the configuration service needs from the other daemons.
+//! The configuration service's connection to the other daemons.
 
 use std::sync;
 
@@ -8,29 +8,29 @@
 use trefoildyke_types::{error, id};
 use trefoildyke_wire::peer;
 
-/// Names the highest version that a peer has announced.
+/// The highest version that a peer has announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Newest {
     /// The version.
     pub version: u64,
-    /// The peer that has it in force.
+    /// The peer that has the version.
     pub incarnation: id::Incarnation,
 }
 
 type Answer = future::BoxFuture<'static, Result<peer::Changes, error::Error>>;
 
-/// Asks one peer for changes.
+/// A call that requests changes from one peer.
 pub type Pull = sync::Arc<dyn Fn(id::Incarnation, peer::ChangesRequest) -> Answer + Send + Sync>;
 
-/// Connects the configuration service to the other daemons.
+/// The configuration service's connection to the other daemons.
 #[derive(Clone)]
 pub struct Peers {
-    /// This daemon.
+    /// The incarnation of this daemon.
     pub own: id::Incarnation,
-    /// The members as this daemon sees them.
+    /// The members in the view of this daemon.
     pub view: watch::Receiver<sync::Arc<members::View>>,
-    /// The highest version that any peer has announced; `None` before the first.
+    /// The highest version that any peer has announced; `None` before the first announcement.
     pub newest: watch::Receiver<Option<Newest>>,
-    /// Asks one peer for changes, within a deadline of its own.
+    /// Requests changes from one peer; sets its own deadline.
     pub pull: Pull,
 }
--- a/crates/daemon/src/config/settings.rs
+++ b/crates/daemon/src/config/settings.rs
@@ -2,20 +2,21 @@
 
 use std::time;
 
-/// Holds the settings of the configuration service.
+/// The settings of the configuration service.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// How many daemons watch the key-value service; at least 1.
+    /// The number of daemons that watch the key-value service; at least 1.
     pub watchers: usize,
-    /// How long one watch waits for a change, in milliseconds; at least 100.
+    /// The maximum time that one watch call waits for a change, in milliseconds; at least 100.
     pub watch_ms: u64,
-    /// How long to wait after a failed read of the key-value service, in milliseconds; at least 10.
+    /// The average delay after a failed read or watch of the key-value service, in milliseconds; at least 10.
     pub retry_ms: u64,
-    /// How often a daemon tries again to read what a peer has announced, in milliseconds; at
-    /// least 10.
+    /// The interval at which a daemon retries to read a version that a peer has announced, in milliseconds;
+    /// at least 10.
     pub poll_ms: u64,
-    /// How long a write is tried before its outcome is called unsure, in milliseconds; at least 100.
+    /// The time after which a write fails, with an unsure outcome if it may still take effect, in
+    /// milliseconds; at least 100.
     pub write_ms: u64,
 }
 
--- a/crates/daemon/src/config/store.rs
+++ b/crates/daemon/src/config/store.rs
@@ -1,4 +1,4 @@
-//! The configuration in the key-value service.
+//! The store of the configuration in the key-value service.
 
 use std::sync;
 
@@ -6,21 +6,21 @@
 use trefoildyke_types::{error, id};
 use trefoildyke_wire::platform::{self, message};
 
-/// How often a root is read again because its chunks have been replaced meanwhile.
-const ATTEMPTS: usize = 4;
+/// The maximum number of attempts to load a root whose chunks are replaced during the load.
+const MAX_LOADS: usize = 4;
 
-/// How many obsolete chunks one call looks for.
-const SWEEP: usize = 2;
+/// The maximum number of chunks that one list call returns.
+const SWEEP_PAGE: usize = 2;
 
-/// Holds the root with the revision that a write compares.
+/// The root with the revision that the next write compares.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Stored {
+pub(crate) struct StoredRoot {
     pub(crate) root: storage::Root,
-    /// The key's revision; 0 if the key does not exist.
+    /// The revision of the root's key; 0 if the key does not exist.
     pub(crate) revision: u64,
 }
 
-impl Stored {
+impl StoredRoot {
     pub(crate) fn new(entry: Option<&message::Entry>) -> Result<Self, error::Error> {
         entry.map_or_else(
             || Ok(Self::default()),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads and writes the configuration in the key-value service.
+/// A store that reads and writes the configuration in the key-value service.
 #[derive(Clone)]
 pub(crate) struct Store {
     kv: platform::KvClient,
@@ -47,28 +47,28 @@
         &self.kv
     }
 
-    pub(crate) async fn read(&self) -> Result<Stored, error::Error> {
+    pub(crate) async fn read(&self) -> Result<StoredRoot, error::Error> {
         let reply = self.kv.get(storage::ROOT_KEY).await?;
-        Stored::new(reply.entry.as_ref())
+        StoredRoot::new(reply.entry.as_ref())
     }
 
-    /// Returns the snapshot of a root, from `have` if the tail reaches back to it.
+    /// Returns the snapshot of a root, based on `current` if the root's tail reaches back to its version.
     ///
-    /// Returns the root too: a later one, if the chunks of the first were replaced meanwhile.
+    /// Also returns the root, which is a later one if the chunks of the given root have been replaced.
     pub(crate) async fn load(
         &self,
-        mut stored: Stored,
-        have: &sync::Arc<config::Snapshot>,
-    ) -> Result<(Stored, sync::Arc<config::Snapshot>), error::Error> {
-        for _ in 0..ATTEMPTS {
-            if stored.root.version == have.version() {
-                return Ok((stored, sync::Arc::clone(have)));
+        mut stored: StoredRoot,
+        current: &sync::Arc<config::Snapshot>,
+    ) -> Result<(StoredRoot, sync::Arc<config::Snapshot>), error::Error> {
+        for _ in 0..MAX_LOADS {
+            if stored.root.version == current.version() {
+                return Ok((stored, sync::Arc::clone(current)));
             }
-            if stored.root.reaches_back(have.version()) {
-                let snapshot = stored.root.catch_up(have)?;
+            if stored.root.reaches_back(current.version()) {
+                let snapshot = stored.root.catch_up(current)?;
                 return Ok((stored, snapshot.into()));
             }
-            if let Some(values) = self.chunks(&stored.root).await? {
+            if let Some(values) = self.read_chunks(&stored.root).await? {
                 let snapshot = stored.root.rebuild(&values)?;
                 return Ok((stored, snapshot.into()));
             }
@@ -78,7 +78,8 @@
             .about(&storage::ROOT_KEY))
     }
 
-    async fn chunks(&self, root: &storage::Root) -> Result<Option<Vec<String>>, error::Error> {
+    /// Returns the values of all chunks of a root, or `None` if a chunk no longer exists.
+    async fn read_chunks(&self, root: &storage::Root) -> Result<Option<Vec<String>>, error::Error> {
         let mut values = Vec::new();
         for key in &root.chunks {
             match self.kv.get(key).await?.entry {
@@ -89,14 +90,14 @@
         Ok(Some(values))
     }
 
-    /// Writes a plan: the chunks first, then the root, if it is still at `revision`.
+    /// Writes the chunks of a plan, and then the root if its revision is still `revision`.
     pub(crate) async fn write(
         &self,
         plan: &storage::Plan,
         revision: u64,
     ) -> Result<(), platform::WriteError> {
         for chunk in &plan.chunks {
-            self.put(&chunk.key, &chunk.value, None).await.map_err(unsent)?;
+            self.put(&chunk.key, &chunk.value, None).await.map_err(without_effect)?;
         }
         let text = plan.root.to_text().map_err(platform::WriteError::Invalid)?;
         self.put(storage::ROOT_KEY, &text, Some(revision)).await
@@ -113,10 +114,10 @@
         self.kv.put(&put).await.map(|_| ())
     }
 
-    /// Writes a snapshot back that the service has lost; `false` if another daemon was first.
+    /// Restores a snapshot that the service has lost; returns `false` if another daemon wrote first.
     pub(crate) async fn restore(
         &self,
-        stored: &Stored,
+        stored: &StoredRoot,
         snapshot: &config::Snapshot,
     ) -> Result<bool, error::Error> {
         let plan = storage::restore(&stored.root, snapshot, id::Nonce(rand::random()))?;
@@ -127,12 +128,12 @@
         }
     }
 
-    /// Deletes chunks that no reader needs any more, the oldest first.
-    pub(crate) async fn sweep(&self, root: &storage::Root) -> Result<(), error::Error> {
+    /// Deletes the chunks that no reader needs any more, the oldest first.
+    pub(crate) async fn delete_obsolete(&self, root: &storage::Root) -> Result<(), error::Error> {
         let list = message::List {
             prefix: storage::CHUNK_PREFIX.to_owned(),
             after: String::new(),
-            limit: SWEEP,
+            limit: SWEEP_PAGE,
         };
         loop {
             let page = self.kv.list(&list).await?;
@@ -150,8 +151,8 @@
     }
 }
 
-/// Returns the error of a write that stopped before the root: nothing took effect.
-fn unsent(error: platform::WriteError) -> platform::WriteError {
+/// Converts the error of a write of a chunk: the change has no effect, because its root is not written.
+fn without_effect(error: platform::WriteError) -> platform::WriteError {
     match error {
         platform::WriteError::Unsure(detail) => platform::WriteError::Unavailable(detail),
         error => error,
--- a/crates/daemon/src/config/watcher.rs
+++ b/crates/daemon/src/config/watcher.rs
@@ -1,4 +1,4 @@
-//! The watch that a few daemons hold on the key-value service.
+//! The watch on the key-value service, which only a few daemons keep.
 
 use std::sync;
 
@@ -10,36 +10,38 @@
 
 use crate::config::{Handle, Peers, store};
 
-/// The rendezvous key of the watchers.
-const ROLE: u64 = 0x636f_6e66_6967;
+/// The key whose owners by rendezvous hashing are the watchers.
+const WATCHERS_KEY: u64 = 0x636f_6e66_6967;
 
-/// Reads the configuration once, and then watches it for as long as this daemon is chosen.
+/// Reads the configuration once, and then watches it whenever this daemon is a watcher.
 pub(crate) async fn run(handle: Handle, mut peers: Peers) {
-    let mut revision = read_first(&handle, &mut peers).await;
+    let mut revision = read_initial(&handle, &mut peers).await;
     loop {
-        wait_until_chosen(&handle, &mut peers).await;
+        wait_until_watcher(&handle, &mut peers).await;
         match watch(&handle, revision).await {
             Ok(seen) => revision = seen,
             Err(error) => {
-                log::warn!(target: "config", "the configuration cannot be watched: {error}");
-                pause(&handle).await;
-                if let Ok(read) = read(&handle).await {
-                    revision = read;
+                log::warn!(target: "config", "failed to watch the configuration: {error}");
+                wait_to_retry(&handle).await;
+                if let Ok(latest) = read(&handle).await {
+                    revision = latest;
                 }
             }
         }
     }
 }
 
-/// Reads until an answer comes or a peer has brought a version.
-async fn read_first(handle: &Handle, peers: &mut Peers) -> u64 {
+/// Reads the root until the service answers, and returns the revision from which to watch.
+///
+/// Returns 0 without an answer if a version is known from a peer and this daemon is not a watcher.
+async fn read_initial(handle: &Handle, peers: &mut Peers) -> u64 {
     loop {
         match read(handle).await {
             Ok(revision) => return revision,
             Err(error) => {
-                log::warn!(target: "config", "the configuration cannot be read: {error}");
-                pause(handle).await;
-                if handle.snapshot().version() > 0 && !is_chosen(handle, &peers.view, peers.own) {
+                log::warn!(target: "config", "failed to read the configuration: {error}");
+                wait_to_retry(handle).await;
+                if handle.snapshot().version() > 0 && !is_watcher(handle, &peers.view, peers.own) {
                     return 0;
                 }
             }
@@ -47,42 +49,44 @@
     }
 }
 
-async fn pause(handle: &Handle) {
+/// Waits before the next read after a failed one.
+async fn wait_to_retry(handle: &Handle) {
     let retry = handle.settings.retry();
-    // Daemons that failed together do not come back together.
-    let factor = rand::rng().random_range(0.5..1.5);
-    time::sleep(retry.mul_f64(factor)).await;
+    // Prevents daemons whose reads failed at the same time from retrying at the same time.
+    let jitter = rand::rng().random_range(0.5..1.5);
+    time::sleep(retry.mul_f64(jitter)).await;
 }
 
 /// Waits until this daemon is one of the watchers.
-async fn wait_until_chosen(handle: &Handle, peers: &mut Peers) {
-    while !is_chosen(handle, &peers.view, peers.own) {
+async fn wait_until_watcher(handle: &Handle, peers: &mut Peers) {
+    while !is_watcher(handle, &peers.view, peers.own) {
         if peers.view.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-fn is_chosen(
+/// Returns whether this daemon is a watcher; also true if no owner is known.
+fn is_watcher(
     handle: &Handle,
     view: &watch::Receiver<sync::Arc<members::View>>,
     own: id::Incarnation,
 ) -> bool {
     let view = view.borrow();
-    let owners = view.owners(ROLE, handle.settings.watchers);
+    let owners = view.owners(WATCHERS_KEY, handle.settings.watchers);
     owners.is_empty() || owners.iter().any(|member| member.incarnation == own)
 }
 
-/// Reads the root and adopts it; returns the revision from which to watch.
+/// Reads and adopts the root, and returns the revision from which to watch.
 async fn read(handle: &Handle) -> Result<u64, error::Error> {
     let reply = handle.store.kv().get(storage::ROOT_KEY).await?;
-    let stored = store::Stored::new(reply.entry.as_ref())?;
+    let stored = store::StoredRoot::new(reply.entry.as_ref())?;
     let seen = reply.revision;
     adopt(handle, stored).await?;
     Ok(seen)
 }
 
-/// Waits for one round of changes and returns the revision up to which all are adopted.
+/// Waits for the next changes, adopts them, and returns the revision from which to watch next.
 async fn watch(handle: &Handle, after: u64) -> Result<u64, error::Error> {
     let wait_ms = handle.settings.watch_ms;
     let watch = message::Watch { prefix: storage::ROOT_KEY.to_owned(), after, wait_ms };
@@ -99,35 +103,35 @@
         None => storage::Root::default(),
     };
     let revision = last.value.as_ref().map_or(0, |_| last.revision);
-    adopt(handle, store::Stored { root, revision }).await?;
+    adopt(handle, store::StoredRoot { root, revision }).await?;
     Ok(reply.revision)
 }
 
-/// Adopts a root, or brings back into the service what is in force here and lost there.
-async fn adopt(handle: &Handle, stored: store::Stored) -> Result<(), error::Error> {
-    let have = handle.snapshot();
-    if stored.root.version < have.version() {
+/// Adopts a root, or restores the current snapshot in the service if the root is older than it.
+async fn adopt(handle: &Handle, stored: store::StoredRoot) -> Result<(), error::Error> {
+    let current = handle.snapshot();
+    if stored.root.version < current.version() {
         return restore(handle).await;
     }
-    if stored.root.reaches_back(have.version()) {
+    if stored.root.reaches_back(current.version()) {
         return handle.extend(stored.root.tail).await.map(|_| ());
     }
-    let (_, snapshot) = handle.store.load(stored, &have).await?;
+    let (_, snapshot) = handle.store.load(stored, &current).await?;
     handle.replace(snapshot).await.map(|_| ())
 }
 
-/// Reads the root again and restores it only if it is still behind: an event may be an old one.
+/// Restores the current snapshot if a new read returns an older root, because an event may be outdated.
 async fn restore(handle: &Handle) -> Result<(), error::Error> {
     let stored = handle.store.read().await?;
-    let have = handle.snapshot();
-    if stored.root.version >= have.version() {
+    let current = handle.snapshot();
+    if stored.root.version >= current.version() {
         return Ok(());
     }
     log::warn!(
         target: "config",
-        "the key-value service holds version {}, older than {} in force; writing it back",
+        "the key-value service holds version {}, older than the current version {}; restoring it",
         stored.root.version,
-        have.version(),
+        current.version(),
     );
-    handle.store.restore(&stored, &have).await.map(|_| ())
+    handle.store.restore(&stored, &current).await.map(|_| ())
 }
--- a/crates/daemon/src/config/writer.rs
+++ b/crates/daemon/src/config/writer.rs
@@ -1,4 +1,4 @@
-//! Changes by compare-and-swap, settled before anything is said about them.
+//! Changes by compare-and-swap, whose outcome is determined before it is reported.
 
 use std::sync;
 
@@ -9,116 +9,126 @@
 
 use crate::config::{Handle, store};
 
-/// The first and the longest wait between attempts.
-const PAUSES: (time::Duration, time::Duration) =
+/// The initial and the maximum backoff between attempts.
+const BACKOFF: (time::Duration, time::Duration) =
     (time::Duration::from_millis(20), time::Duration::from_millis(640));
 
-/// How long a change that was never sent is tried before it is refused.
+/// How long a change is retried after transient errors while no sent write of it can take effect.
 ///
-/// A single read may fail although the service works: it may have closed the connection just then.
-const PATIENCE: time::Duration = time::Duration::from_millis(500);
+/// A single read can fail although the service works, because the service may just have closed the
+/// connection.
+const UNSENT_RETRY_LIMIT: time::Duration = time::Duration::from_millis(500);
 
-/// Holds what one writer knows of its change.
+/// The state of one change that is being written.
 struct Attempt<'a> {
     handle: &'a Handle,
     set: &'a config::ChangeSet,
     nonce: id::Nonce,
-    /// The version on top of which the change was last sent; `None` if it can be nowhere.
-    sent: Option<u64>,
+    /// The version on which the last sent write is based; `None` if no sent write can take effect.
+    pending_base: Option<u64>,
 }
 
-type Written = sync::Arc<config::Snapshot>;
+type Adopted = sync::Arc<config::Snapshot>;
 
-/// Makes a change and returns once its outcome is known, or unsure after the time limit.
+/// Makes a change and returns once its outcome is known or the time limit has passed.
+///
+/// After the time limit, the error is `Unsure` if the change may have taken or may still take effect,
+/// otherwise `Unavailable`.
 pub(crate) async fn write(
     handle: &Handle,
     set: &config::ChangeSet,
-) -> Result<Written, error::Error> {
+) -> Result<Adopted, error::Error> {
     let start = time::Instant::now();
     let deadline = start + handle.settings.write();
     let nonce = id::Nonce(rand::random());
-    let mut attempt = Attempt { handle, set, nonce, sent: None };
-    let mut pause = PAUSES.0;
+    let mut attempt = Attempt { handle, set, nonce, pending_base: None };
+    let mut backoff = BACKOFF.0;
     loop {
         let step = time::timeout_at(deadline, attempt.step()).await;
         match step {
             Ok(Ok(Some(snapshot))) => return Ok(snapshot),
             Ok(Ok(None)) => {}
-            Ok(Err(error)) if !repeats(&error) => return Err(error),
-            Ok(Err(error)) if attempt.sent.is_none() && start.elapsed() >= PATIENCE => {
+            Ok(Err(error)) if !is_transient(&error) => return Err(error),
+            Ok(Err(error))
+                if attempt.pending_base.is_none() && start.elapsed() >= UNSENT_RETRY_LIMIT =>
+            {
                 return Err(error);
             }
-            Ok(Err(_)) => time::sleep_until((time::Instant::now() + pause).min(deadline)).await,
+            Ok(Err(_)) => time::sleep_until((time::Instant::now() + backoff).min(deadline)).await,
             Err(_) => {}
         }
-        pause = (pause * 2).min(PAUSES.1);
+        backoff = (backoff * 2).min(BACKOFF.1);
         if time::Instant::now() >= deadline {
-            return Err(attempt.late());
+            return Err(attempt.timeout_error());
         }
     }
 }
 
-/// Returns whether the error may pass.
-const fn repeats(error: &error::Error) -> bool {
+/// Returns whether a retry after the error may succeed.
+const fn is_transient(error: &error::Error) -> bool {
     matches!(error.kind, error::ErrorKind::Unavailable | error::ErrorKind::Unsure)
 }
 
 impl Attempt<'_> {
-    /// Goes one step and returns the snapshot with the change, if it is confirmed.
+    /// Makes one attempt and returns the snapshot with the change if the change is confirmed.
     ///
-    /// A change whose outcome is open is sent again on the same revision: it can then take effect
-    /// only once, and either answer settles it.
-    async fn step(&mut self) -> Result<Option<Written>, error::Error> {
+    /// A change whose outcome is open is sent again with the same revision. It can then take effect only
+    /// once, and an answer to either write determines the outcome.
+    async fn step(&mut self) -> Result<Option<Adopted>, error::Error> {
         let stored = self.handle.store.read().await?;
-        if let Some(base) = self.sent {
+        if let Some(base) = self.pending_base {
             match stored.root.outcome(base, self.nonce) {
                 storage::Outcome::Applied => return self.adopt(stored).await.map(Some),
-                storage::Outcome::Lost => self.sent = None,
+                storage::Outcome::Lost => self.pending_base = None,
                 storage::Outcome::Open => {}
-                storage::Outcome::Forgotten => return Err(forgotten()),
+                storage::Outcome::Forgotten => return Err(outcome_unknown()),
             }
         }
-        let (stored, snapshot) = self.base(stored).await?;
+        let (stored, snapshot) = self.load_base(stored).await?;
         let plan = storage::plan(&stored.root, &snapshot, self.set, self.nonce)?;
         self.send(&stored, &plan).await
     }
 
-    /// Returns what to build on: what the service holds, once it holds what is in force here.
-    async fn base(
+    /// Returns the root and the snapshot on which to base the change.
+    ///
+    /// If the service holds an older version than this daemon, the current snapshot is restored first.
+    async fn load_base(
         &self,
-        stored: store::Stored,
-    ) -> Result<(store::Stored, sync::Arc<config::Snapshot>), error::Error> {
-        let have = self.handle.snapshot();
+        stored: store::StoredRoot,
+    ) -> Result<(store::StoredRoot, sync::Arc<config::Snapshot>), error::Error> {
+        let current = self.handle.snapshot();
         let store = &self.handle.store;
-        if stored.root.version >= have.version() {
-            return store.load(stored, &have).await;
+        if stored.root.version >= current.version() {
+            return store.load(stored, &current).await;
         }
-        store.restore(&stored, &have).await?;
+        store.restore(&stored, &current).await?;
         let restored = store.read().await?;
-        store.load(restored, &have).await
+        store.load(restored, &current).await
     }
 
+    /// Writes a plan and returns its snapshot, or `None` if another write came first.
     async fn send(
         &mut self,
-        stored: &store::Stored,
+        stored: &store::StoredRoot,
         plan: &storage::Plan,
-    ) -> Result<Option<Written>, error::Error> {
-        let known_before = self.sent;
-        self.sent = Some(stored.root.version);
+    ) -> Result<Option<Adopted>, error::Error> {
+        let previous_base = self.pending_base;
+        self.pending_base = Some(stored.root.version);
         match self.handle.store.write(plan, stored.revision).await {
-            Ok(()) => self.confirmed(plan).await.map(Some),
+            Ok(()) => self.confirm(plan).await.map(Some),
             Err(platform::WriteError::Conflict(_)) => Ok(None),
             Err(
                 error @ (platform::WriteError::Unavailable(_) | platform::WriteError::Invalid(_)),
             ) => {
-                self.sent = known_before;
+                self.pending_base = previous_base;
                 Err(error.error())
             }
             Err(error) => Err(error.error()),
         }
     }
 
-    async fn confirmed(&self, plan: &storage::Plan) -> Result<Written, error::Error> {
+    /// Adopts a written plan, and deletes obsolete chunks if the plan wrote new ones.
+    async fn confirm(&self, plan: &storage::Plan) -> Result<Adopted, error::Error> {
         let adopted = match &plan.change {
             Some(change) => self.handle.extend(vec![change.clone()]).await,
             None => Ok(self.handle.snapshot()),
@@ -127,22 +137,22 @@
             self.handle.replace(sync::Arc::clone(&plan.snapshot)).await?;
         }
         if !plan.chunks.is_empty()
-            && let Err(error) = self.handle.store.sweep(&plan.root).await
+            && let Err(error) = self.handle.store.delete_obsolete(&plan.root).await
         {
-            log::warn!(target: "config", "old chunks stay until the next fold: {error}");
+            log::warn!(target: "config", "failed to delete obsolete chunks: {error}");
         }
         Ok(sync::Arc::clone(&plan.snapshot))
     }
 
-    async fn adopt(&self, stored: store::Stored) -> Result<Written, error::Error> {
-        let have = self.handle.snapshot();
-        let (_, snapshot) = self.handle.store.load(stored, &have).await?;
+    async fn adopt(&self, stored: store::StoredRoot) -> Result<Adopted, error::Error> {
+        let current = self.handle.snapshot();
+        let (_, snapshot) = self.handle.store.load(stored, &current).await?;
         self.handle.replace(snapshot).await
     }
 
-    fn late(&self) -> error::Error {
+    fn timeout_error(&self) -> error::Error {
         let limit = self.handle.settings.write_ms;
-        match self.sent {
+        match self.pending_base {
             None => error::Error::new(
                 error::ErrorKind::Unavailable,
                 format!("the key-value service took no write within {limit} ms; nothing changed"),
@@ -156,7 +166,7 @@
     }
 }
 
-fn forgotten() -> error::Error {
+fn outcome_unknown() -> error::Error {
     error::Error::new(error::ErrorKind::Unsure, "too many changes followed to tell the outcome")
         .remedy("get the resource and compare before sending the change again")
 }
