--- a/crates/daemon/src/operators/face.rs
+++ b/crates/daemon/src/operators/face.rs
@@ -1,4 +1,4 @@
-//! What the operators' face is made of.
+//! The server of the operators' API.
 
 use std::sync;
 
@@ -13,19 +13,19 @@
     orders,
 };
 
-/// Returns the events after a sequence number.
+/// A function that returns the events after a sequence number.
 pub type Events = sync::Arc<dyn Fn(u64) -> message::EventPage + Send + Sync>;
 
-/// Names the daemon that answers.
+/// The identity of the daemon that answers.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The host.
+    /// The name of the daemon's host.
     pub host: id::HostName,
-    /// The life of the process.
+    /// The incarnation of the daemon's process.
     pub incarnation: id::Incarnation,
 }
 
-/// Answers operators.
+/// The server of the operators' API.
 pub struct Face {
     pub(crate) settings: Settings,
     pub(crate) identity: Identity,
@@ -39,7 +39,7 @@
 }
 
 impl Face {
-    /// Creates the face over the services that it shows.
+    /// Creates the server on top of the services that it exposes.
     pub fn new(
         settings: Settings,
         identity: Identity,
@@ -54,11 +54,11 @@
         Self { settings, identity, tokens, config, orders, progress, events, changes, watches }
     }
 
-    /// Answers one call.
+    /// Returns the answer to one call.
     ///
     /// # Errors
     ///
-    /// Never; the type is what [`http::Server`] asks for.
+    /// Never fails; [`http::Server`] requires the `Result`.
     pub async fn answer(
         self: sync::Arc<Self>,
         call: http::Call,
@@ -83,18 +83,18 @@
         .remedy("send `Authorization: Bearer TOKEN` with a token whose hash is in the settings"))
     }
 
-    /// Takes a place for a change, so that bodies in memory stay bounded.
-    pub(crate) fn enter_change(&self) -> Result<SemaphorePermit<'_>, error::Error> {
-        self.changes.try_acquire().map_err(|_| busy("changes"))
+    /// Returns a permit to make a change, which limits the bodies that are in memory at the same time.
+    pub(crate) fn acquire_change_permit(&self) -> Result<SemaphorePermit<'_>, error::Error> {
+        self.changes.try_acquire().map_err(|_| too_many("changes"))
     }
 
-    /// Takes a place for a watch.
-    pub(crate) fn enter_watch(&self) -> Result<SemaphorePermit<'_>, error::Error> {
-        self.watches.try_acquire().map_err(|_| busy("watches"))
+    /// Returns a permit to watch.
+    pub(crate) fn acquire_watch_permit(&self) -> Result<SemaphorePermit<'_>, error::Error> {
+        self.watches.try_acquire().map_err(|_| too_many("watches"))
     }
 }
 
-fn busy(what: &str) -> error::Error {
+fn too_many(what: &str) -> error::Error {
     error::Error::new(error::ErrorKind::Unavailable, format!("too many {what} at once"))
         .remedy("try again or ask another daemon")
 }
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' HTTP face.
+//! The HTTP API for operators.
 //!
-//! Every daemon serves it. A change is answered once the key-value service has confirmed it; from
-//! then on status tells how far it has come.
+//! Every daemon serves the API. A change is answered once the key-value service has confirmed it. The
+//! status of a resource then reports how far the daemons have adopted it.
 
 mod face;
 mod query;
--- a/crates/daemon/src/operators/query.rs
+++ b/crates/daemon/src/operators/query.rs
@@ -1,14 +1,14 @@
-//! Parameters after the question mark.
+//! The query parameters of a call.
 
 use std::str;
 
 use trefoildyke_types::error;
 
-/// Reads the parameters of a call.
+/// The query parameters of a call.
 pub(crate) struct Query<'a>(&'a str);
 
 impl<'a> Query<'a> {
-    /// Checks that the call has no parameter besides `known`.
+    /// Creates the query of a call; fails with `Invalid` if it has a parameter that is not in `known`.
     pub(crate) fn new(uri: &'a hyper::Uri, known: &[&str]) -> Result<Self, error::Error> {
         let this = Self(uri.query().unwrap_or(""));
         match this.pairs().find(|(name, _)| !known.contains(name)) {
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Returns a parameter's text.
+    /// Returns the text of a parameter, or `None` if it is not set.
     pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
         self.pairs().find(|(other, _)| *other == name).map(|(_, value)| value)
     }
 
-    /// Returns a parameter's number.
+    /// Returns the number in a parameter, or `None` if it is not set; fails if it is not a number.
     pub(crate) fn number<T: str::FromStr>(&self, name: &str) -> Result<Option<T>, error::Error> {
         let parse = |text: &str| text.parse().map_err(|_| invalid(name, "is not a whole number"));
         self.text(name).map(parse).transpose()
--- a/crates/daemon/src/operators/reply.rs
+++ b/crates/daemon/src/operators/reply.rs
@@ -1,13 +1,13 @@
-//! Answers to operators.
+//! Responses to operators.
 
 use hyper::{StatusCode, header};
 use trefoildyke_types::error;
 use trefoildyke_wire::http;
 
-/// When to come back after a refusal that may pass, in seconds.
+/// The delay before a retry after a transient refusal, in seconds.
 const RETRY_AFTER: header::HeaderValue = header::HeaderValue::from_static("1");
 
-/// Returns the answer with an error as its body.
+/// Returns the response with an error as its body.
 pub(crate) fn error(error: &error::Error) -> hyper::Response<http::Body> {
     let status = match error.kind {
         error::ErrorKind::Invalid => StatusCode::BAD_REQUEST,
@@ -26,7 +26,7 @@
     reply
 }
 
-/// Returns the answer that carries a value.
+/// Returns the response with a value as its body.
 pub(crate) fn ok(content: &impl serde::Serialize) -> hyper::Response<http::Body> {
     http::json(StatusCode::OK, content)
 }
--- a/crates/daemon/src/operators/routes.rs
+++ b/crates/daemon/src/operators/routes.rs
@@ -1,4 +1,4 @@
-//! One function for each call.
+//! The routes of the API, with one function for each call.
 
 use std::{collections, sync};
 
@@ -12,7 +12,7 @@
 
 type Reply = Result<hyper::Response<http::Body>, error::Error>;
 
-/// Finds the call that is meant and answers it.
+/// Returns the answer to a request, selected by its method and path.
 pub(crate) async fn answer(face: &Face, request: hyper::Request<body::Incoming>) -> Reply {
     let (parts, body) = request.into_parts();
     let segments: Vec<_> = parts.uri.path().split('/').skip(1).collect();
@@ -57,7 +57,7 @@
     let page: Vec<_> = rest.by_ref().take(limit).collect();
     let more = rest.next().is_some();
     let resources = match kind {
-        resource::Kind::EngineOrder => with_ends(face, &page, &progress).await,
+        resource::Kind::EngineOrder => orders_with_status(face, &page, &progress).await,
         _ => page.into_iter().map(|r| status::with_status(r, &progress)).collect(),
     };
     Ok(reply::ok(&message::ResourcePage { version: snapshot.version(), resources, more }))
@@ -73,16 +73,16 @@
     if kind == resource::Kind::EngineOrder {
         let end = match face.orders.ended(&order_key(resource)).await {
             Ok(Some(ended)) => status::OrderEnd::Ended(ended.outcome),
-            Ok(None) => status::OrderEnd::None,
-            Err(error) => status::OrderEnd::Unread(error),
+            Ok(None) => status::OrderEnd::Open,
+            Err(error) => status::OrderEnd::Unreadable(error),
         };
-        return Ok(reply::ok(&status::of_order(resource, &progress, end)));
+        return Ok(reply::ok(&status::order_with_status(resource, &progress, end)));
     }
     Ok(reply::ok(&status::with_status(resource, &progress)))
 }
 
-/// Returns orders with their status, which costs a read of the key-value service.
-async fn with_ends(
+/// Returns orders with their status; reads the key-value service unless `page` is empty.
+async fn orders_with_status(
     face: &Face,
     page: &[&sync::Arc<resource::Resource>],
     progress: &Progress,
@@ -95,10 +95,12 @@
     let end = |resource: &resource::Resource| match &ended {
         Ok(ended) => ended
             .get(&order_key(resource))
-            .map_or(status::OrderEnd::None, |ended| status::OrderEnd::Ended(ended.outcome.clone())),
-        Err(error) => status::OrderEnd::Unread(error.clone()),
+            .map_or(status::OrderEnd::Open, |ended| status::OrderEnd::Ended(ended.outcome.clone())),
+        Err(error) => status::OrderEnd::Unreadable(error.clone()),
     };
-    page.iter().map(|resource| status::of_order(resource, progress, end(resource))).collect()
+    page.iter()
+        .map(|resource| status::order_with_status(resource, progress, end(resource)))
+        .collect()
 }
 
 fn order_key(resource: &resource::Resource) -> orders::OrderKey {
@@ -106,7 +108,7 @@
 }
 
 async fn put(face: &Face, key: &resource::ResourceKey, body: body::Incoming) -> Reply {
-    let _place = face.enter_change()?;
+    let _permit = face.acquire_change_permit()?;
     let text =
         http::read_body(body, face.settings.resource_bytes, face.settings.body_wait()).await?;
     let resource = config::from_json(&text)?;
@@ -120,13 +122,13 @@
 }
 
 async fn delete(face: &Face, key: resource::ResourceKey, uri: &hyper::Uri) -> Reply {
-    let _place = face.enter_change()?;
+    let _permit = face.acquire_change_permit()?;
     let resource_version = Query::new(uri, &["resource_version"])?.number("resource_version")?;
     change(face, &config::ChangeSet::delete(config::Deletion { key, resource_version })).await
 }
 
 async fn apply(face: &Face, body: body::Incoming) -> Reply {
-    let _place = face.enter_change()?;
+    let _permit = face.acquire_change_permit()?;
     let text = http::read_body(body, face.settings.change_bytes, face.settings.body_wait()).await?;
     change(face, &config::change_from_json(&text)?).await
 }
@@ -135,7 +137,7 @@
     let snapshot = face.config.write(set).await?;
     let progress = *face.progress.borrow();
     let accepted = set.puts.iter().filter_map(|put| {
-        // A later change may have replaced or deleted it already.
+        // A later change may already have replaced or deleted the resource.
         snapshot.resource(put.spec.kind(), &put.name).map(|r| status::with_status(r, &progress))
     });
     let resources = accepted.collect();
@@ -148,21 +150,24 @@
     let in_force = query.number("in_force")?.unwrap_or(u64::MAX);
     let settled = query.number("settled")?.unwrap_or(u64::MAX);
     let wait_ms = query.number("wait_ms")?.unwrap_or(0).min(face.settings.watch_ms);
-    let _place = face.enter_watch()?;
+    let _permit = face.acquire_watch_permit()?;
     let mut snapshots = face.config.subscribe();
     let mut progress = face.progress.clone();
-    let news = async {
+    let changed = async {
         tokio::select! {
             _ = snapshots.wait_for(|snapshot| snapshot.version() > after) => {}
             _ = progress.wait_for(|p| p.in_force > in_force || p.settled > settled) => {}
         }
     };
-    // The answer is the same, only with nothing new in it.
-    let _ = time::timeout(time::Duration::from_millis(wait_ms), news).await;
+    // After a timeout, the answer has the same form, without anything new.
+    let _ = time::timeout(time::Duration::from_millis(wait_ms), changed).await;
     Ok(reply::ok(&watched(face, after)))
 }
 
-/// Returns what was accepted after a version: a page, if it is much, but no version in part.
+/// Returns the resources accepted after a version, oldest first.
+///
+/// Above the page size, the answer ends with the version in which the page size is exceeded. It contains
+/// all resources of that version, so it can be longer than a page.
 fn watched(face: &Face, after: u64) -> message::Watched {
     let snapshot = face.config.snapshot();
     let progress = *face.progress.borrow();
--- a/crates/daemon/src/operators/settings.rs
+++ b/crates/daemon/src/operators/settings.rs
@@ -1,24 +1,25 @@
-//! Limits of the operators' face.
+//! Limits of the operators' API.
 
 use std::time;
 
-/// Holds the limits of the operators' face.
+/// The limits of the operators' API.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// The largest body of one resource, in bytes.
+    /// The maximum size of the body of one resource, in bytes; from 1,024 to 64 MiB.
     pub resource_bytes: usize,
-    /// The largest body of a change of several resources, in bytes.
+    /// The maximum size of the body of a change of several resources, in bytes; from 1,024 to 64 MiB.
     pub change_bytes: usize,
-    /// How many changes may be read or written at once; more are refused.
+    /// The maximum number of changes that are read or written at the same time; more are refused.
     pub changes: usize,
-    /// How many watches may wait at once; more are refused.
+    /// The maximum number of watches that wait at the same time; more are refused.
     pub watches: usize,
-    /// The most resources in one page.
+    /// The maximum number of resources in a page; only the page of a watch can be longer, to hold all
+    /// resources of its last version.
     pub page: usize,
-    /// The longest that a watch waits, in milliseconds.
+    /// The maximum time that a watch waits, in milliseconds.
     pub watch_ms: u64,
-    /// How long a body may take to arrive, in milliseconds.
+    /// The timeout for the arrival of a body, in milliseconds.
     pub body_ms: u64,
 }
 
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -1,55 +1,53 @@
-//! How far resources have come.
+//! The status of resources, derived from the progress of the daemons.
 
 use trefoildyke_decide::orders;
 use trefoildyke_types::{error, resource};
 
-/// Says how far the live daemons have come, as the members' reports add up.
+/// The progress of all live daemons, aggregated from the members' reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// The highest root version that every live daemon has reported; 0 if unknown.
     pub in_force: u64,
-    /// The root version up to which every planned stop has ended on every live daemon.
-    ///
-    /// At most `in_force`.
+    /// The root version up to which every planned stop has ended on every live daemon; at most `in_force`.
     pub settled: u64,
-    /// How many live daemons there are, this one included.
+    /// The number of live daemons, including this one.
     pub live: u32,
 }
 
-/// Says what is known of an order's end.
+/// What is known of the end of an order.
 pub(crate) enum OrderEnd {
-    /// It was not asked for, or the order has not ended.
-    None,
-    /// The order has ended.
+    /// The order has not ended.
+    Open,
+    /// The order has ended with this outcome.
     Ended(orders::Outcome),
-    /// It cannot be read.
-    Unread(error::Error),
+    /// The outcome cannot be read because of this error.
+    Unreadable(error::Error),
 }
 
-/// Returns an order with its status.
-pub(crate) fn of_order(
+/// Returns an order with its status, including its outcome.
+pub(crate) fn order_with_status(
     resource: &resource::Resource,
     progress: &Progress,
     end: OrderEnd,
 ) -> resource::Resource {
     let mut status = status(resource, progress);
     match end {
-        OrderEnd::None => {}
+        OrderEnd::Open => {}
         OrderEnd::Ended(orders::Outcome::Done) => status.phase = resource::Phase::Done,
-        OrderEnd::Ended(orders::Outcome::Failed(why)) => {
+        OrderEnd::Ended(orders::Outcome::Failed(reason)) => {
             status.phase = resource::Phase::Failed;
-            status.message = why;
+            status.message = reason;
         }
-        OrderEnd::Unread(error) => {
+        OrderEnd::Unreadable(error) => {
             status.message = format!("whether the order has ended cannot be read: {error}");
         }
     }
     resource::Resource { status: Some(status), ..resource.clone() }
 }
 
-/// Returns the resource with its status.
+/// Returns a resource with its status.
 ///
-/// Whether an order has ended is not part of it; see [`of_order`].
+/// The status of an order does not include its outcome; see [`order_with_status`].
 pub(crate) fn with_status(
     resource: &resource::Resource,
     progress: &Progress,
@@ -60,15 +58,15 @@
 
 fn status(resource: &resource::Resource, progress: &Progress) -> resource::Status {
     let version = resource.resource_version;
-    let everywhere = progress.in_force >= version;
-    let reported = if everywhere { progress.live } else { 0 };
+    let is_everywhere = progress.in_force >= version;
+    let reported = if is_everywhere { progress.live } else { 0 };
     let phase = match &resource.spec {
-        _ if !everywhere => resource::Phase::Accepted,
+        _ if !is_everywhere => resource::Phase::Accepted,
         resource::Spec::PlannedStop(_) if progress.settled >= version => resource::Phase::Stopped,
         resource::Spec::PlannedStop(_) => resource::Phase::Stopping,
         _ => resource::Phase::InForce,
     };
-    let message = if everywhere {
+    let message = if is_everywhere {
         String::new()
     } else {
         format!("version {version} waits for daemons; {} is in force everywhere", progress.in_force)
--- a/crates/daemon/src/operators/tokens.rs
+++ b/crates/daemon/src/operators/tokens.rs
@@ -1,20 +1,20 @@
-//! The operators' tokens.
+//! The tokens of operators.
 
 use sha2::Digest;
 use subtle::ConstantTimeEq;
 use trefoildyke_decide::config;
 use trefoildyke_types::error;
 
-/// Holds the hashes of the tokens that operators may send.
+/// The hashes of the tokens that are accepted from operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tokens(Vec<config::KeyHash>);
 
 impl Tokens {
-    /// Reads the SHA-256 hashes of tokens, 64 lower-case hexadecimal digits each.
+    /// Parses the SHA-256 hashes of tokens, 64 lower-case hexadecimal digits each.
     ///
     /// # Errors
     ///
-    /// Fails with `Invalid` and the index of the first text that is no hash.
+    /// Fails with `Invalid` and the index of the first text that is not a hash.
     pub fn parse(hashes: &[String]) -> Result<Self, error::Error> {
         let parsed = hashes.iter().enumerate().map(|(index, text)| {
             text.parse().map_err(|error: config::KeyHashError| {
@@ -26,12 +26,13 @@
         parsed.collect::<Result<_, _>>().map(Self)
     }
 
-    /// Returns whether the token is one of the operators'.
+    /// Returns whether a token is accepted.
     ///
-    /// Takes the same time for every token of a length, so that nothing can be learned from it.
+    /// Takes the same time for all tokens of the same length, so the duration reveals nothing about the
+    /// accepted tokens.
     pub fn accepts(&self, token: &str) -> bool {
         let hash: [u8; 32] = sha2::Sha256::digest(token.as_bytes()).into();
-        let matches = self.0.iter().map(|own| own.as_bytes().ct_eq(&hash));
-        matches.fold(subtle::Choice::from(0), |any, one| any | one).into()
+        let matches = self.0.iter().map(|known| known.as_bytes().ct_eq(&hash));
+        matches.fold(subtle::Choice::from(0), |any, next| any | next).into()
     }
 }
