--- a/crates/daemon/src/intents/handle.rs
+++ b/crates/daemon/src/intents/handle.rs
@@ -44,9 +44,9 @@
 
     /// Records a request if it has no record yet.
     ///
-    /// A call with a record that is already stored, with the same nonce, returns `Created`, so an unsure
-    /// outcome can be resolved by repeating the call. If the identifier is too old to prove the creation,
-    /// the outcome is `Unsure`. Takes at most a few times `try_ms`.
+    /// A repeated call with the same record, nonce included, returns `Created` if the record exists, so an
+    /// unsure outcome can be resolved by repeating the call. If the identifier is too old to prove the
+    /// creation, the outcome is `Unsure`. Takes at most a few times `try_ms`.
     pub async fn record(
         &self,
         key: &id::RequestKey,
--- a/crates/daemon/src/intents/settings.rs
+++ b/crates/daemon/src/intents/settings.rs
@@ -31,7 +31,7 @@
     /// The timeout of one attempt to write a record, in milliseconds; at least 1. The attempts go through
     /// the owner, this daemon and another peer.
     pub try_ms: u64,
-    /// The maximum number of records and look-ups that wait in one bucket; at least 1.
+    /// The capacity of the queue of one bucket, and of the queue of records for other members; at least 1.
     pub waiting: usize,
 }
 
--- a/crates/daemon/src/settings/callers.rs
+++ b/crates/daemon/src/settings/callers.rs
@@ -1,22 +1,22 @@
-//! Limits of the callers' face.
+//! Limits of the callers' API.
 
 use std::time;
 
 use trefoildyke_wire::http;
 
-/// Limits what callers may take.
+/// The limits of the API through which callers send requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Callers {
-    /// Connections at once; at least 1.
+    /// The maximum number of open connections; from 1 to 1,000,000.
     pub connections: usize,
-    /// Streams at once in one HTTP/2 connection; at least 1.
+    /// The maximum number of concurrent streams in one HTTP/2 connection; from 1 to 100,000.
     pub streams: u32,
-    /// The longest body of a request, in bytes; at least 1,024.
+    /// The maximum size of the body of a request, in bytes; from 1,024 to 64 MiB.
     pub body_bytes: usize,
-    /// How long a request's body may take to arrive, in milliseconds; at least 1.
+    /// The timeout for the arrival of a request's body, in milliseconds; from 1 to 600,000.
     pub body_ms: u64,
-    /// How often a stream without chunks carries a comment line, in milliseconds; from 1 to 1,000.
+    /// The interval of comment lines in a stream without chunks, in milliseconds; from 1 to 1,000.
     pub beat_ms: u64,
 }
 
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Returns how long a request's body may take to arrive.
+    /// Returns the timeout for the arrival of a request's body.
     pub const fn body_wait(&self) -> time::Duration {
         time::Duration::from_millis(self.body_ms)
     }
 
-    /// Returns how often a stream without chunks carries a comment line.
+    /// Returns the interval of comment lines in a stream without chunks.
     pub const fn beat(&self) -> time::Duration {
         time::Duration::from_millis(self.beat_ms)
     }
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,12 +1,14 @@
-//! Ranges of the settings.
+//! The range checks of the settings.
 
 use std::{fmt, ops};
 
 use crate::{operators, settings};
 
+/// The minimum length of a peer key in bytes.
 const SHORTEST_KEY: usize = 16;
 
 impl settings::Settings {
+    /// Checks that every value is within its range.
     pub(super) fn check(&self) -> Result<(), settings::Error> {
         not_empty("host", self.host.as_str(), "set the host's name as the platform's list has it")?;
         not_empty("zone", self.zone.as_str(), "set the availability zone of this host")?;
--- a/crates/daemon/src/settings/coordinate.rs
+++ b/crates/daemon/src/settings/coordinate.rs
@@ -1,27 +1,28 @@
-//! Limits and bounds of the coordinator.
+//! Limits of the coordinator.
 
 use std::time;
 
 use trefoildyke_decide::coordinate;
 
-/// Limits the coordinator.
+/// The limits of the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Coordinate {
-    /// The most requests in progress at once; at least 1. More are refused as not run.
+    /// The maximum number of requests in progress; from 1 to 1,000,000. More are refused as not run.
     pub requests: usize,
-    /// How long a finished answer stays readable, in milliseconds.
+    /// How long a finished answer can be read, in milliseconds.
     pub keep_ms: u64,
-    /// The most bytes of finished answers that are kept; the oldest go first.
+    /// The maximum total size of the finished answers that are kept, in bytes; the oldest are dropped first.
     pub keep_bytes: usize,
-    /// How long a request that waits goes on after its caller has gone, in milliseconds.
+    /// How long a waiting request continues after its caller has disconnected, in milliseconds; from 1,000
+    /// to 600,000.
     ///
-    /// Longer than the gap between two calls of a peer that follows the answer.
+    /// Must be longer than the time between two calls of a peer that follows the answer.
     pub linger_ms: u64,
-    /// How long the daemon may reach neither the key-value service nor any peer before it refuses
-    /// new work, in milliseconds; at least 100.
+    /// How long the daemon can be without contact to the key-value service and to all peers before it
+    /// refuses new work, in milliseconds; from 100 to 600,000.
     pub isolation_ms: u64,
-    /// Which requests go on while the key-value service is down.
+    /// Which requests are dispatched without a record while the key-value service is down.
     pub outage: coordinate::OutagePolicy,
     /// How long a graceful stop waits for requests in progress, in milliseconds.
     pub drain_ms: u64,
@@ -42,17 +43,17 @@
 }
 
 impl Coordinate {
-    /// Returns how long a finished answer stays readable.
+    /// Returns how long a finished answer can be read.
     pub const fn keep(&self) -> time::Duration {
         time::Duration::from_millis(self.keep_ms)
     }
 
-    /// Returns how long a request that waits goes on after its caller has gone.
+    /// Returns how long a waiting request continues after its caller has disconnected.
     pub const fn linger(&self) -> time::Duration {
         time::Duration::from_millis(self.linger_ms)
     }
 
-    /// Returns how long the daemon may be cut off before it refuses new work.
+    /// Returns how long the daemon can be isolated before it refuses new work.
     pub const fn isolation(&self) -> time::Duration {
         time::Duration::from_millis(self.isolation_ms)
     }
--- a/crates/daemon/src/settings/file.rs
+++ b/crates/daemon/src/settings/file.rs
@@ -6,7 +6,7 @@
 
 use crate::{config, endpoints, hosts, intents, orders, schedule, settings};
 
-/// Holds the settings of one daemon.
+/// The settings of one daemon.
 ///
 /// ```
 /// use trefoildyke_daemon::settings;
@@ -19,37 +19,37 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The host's name, as the platform's list has it; required.
+    /// The name of the host, as in the platform's list of hosts; required.
     pub host: id::HostName,
-    /// The availability zone; required.
+    /// The availability zone of the host; required.
     pub zone: id::ZoneName,
-    /// Threads that carry traffic; at least 1.
+    /// The number of threads that handle traffic; from 1 to 1,024.
     pub threads: usize,
-    /// Where the daemon listens.
+    /// The addresses on which the daemon listens.
     pub listen: settings::Listen,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub platform: settings::Platform,
-    /// How the daemon finds the others.
+    /// How the daemon finds the other daemons and authenticates to them.
     pub peers: settings::Peers,
-    /// Limits of the callers' face.
+    /// The limits of the callers' API.
     pub callers: settings::Callers,
-    /// Who may operate the system.
+    /// The tokens of operators and the limits of their API.
     pub operators: settings::Operators,
-    /// Limits and bounds of the coordinator.
+    /// The limits of the coordinator.
     pub coordinate: settings::Coordinate,
-    /// Settings of the configuration service.
+    /// The settings of the configuration service.
     pub config: config::Settings,
-    /// Settings of the reading of the host list.
+    /// The settings of the service that reads the list of hosts.
     pub hosts: hosts::Settings,
-    /// Settings of the watch over endpoints.
+    /// The settings of the monitoring of endpoints.
     pub endpoints: endpoints::Settings,
-    /// Settings of the records.
+    /// The settings of the intent service, which records requests.
     pub intents: intents::Settings,
-    /// Settings of the orders to engines.
+    /// The settings of the orders to engines.
     pub orders: orders::Settings,
-    /// Settings of the schedulers.
+    /// The settings of the schedulers.
     pub schedule: schedule::Settings,
-    /// The most events that the time line keeps; at least 1.
+    /// The maximum number of events that the timeline keeps; from 1 to 10,000,000.
     pub events: usize,
     /// What is logged.
     pub logs: settings::Logs,
@@ -80,22 +80,23 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read, has an unknown key, or a value outside its range.
+    /// Fails if the file cannot be read or is not valid YAML, has an unknown key, or a value is outside its
+    /// range.
     pub fn read(file: &path::Path) -> Result<Self, settings::Error> {
         let text = std::fs::read_to_string(file)
             .map_err(|cause| settings::Error::Read { file: file.to_owned(), cause })?;
         Self::from_yaml(&text)
     }
 
-    /// Reads and checks settings from their text.
+    /// Parses and checks settings in YAML.
     ///
     /// # Errors
     ///
-    /// Fails if there is an unknown key or a value outside its range.
+    /// Fails if the text is not valid YAML, has an unknown key, or a value is outside its range.
     pub fn from_yaml(text: &str) -> Result<Self, settings::Error> {
         let settings: Self = serde_yaml_ng::from_str(text)
             .map_err(|error| settings::Error::Form(error.to_string()))?;
@@ -103,11 +104,11 @@
         Ok(settings)
     }
 
-    /// Returns the settings as YAML, every default included and secrets hidden.
+    /// Returns the settings as YAML, with every default included and secrets hidden.
     ///
     /// # Errors
     ///
-    /// Fails if a value has no YAML form.
+    /// Fails if a value cannot be represented in YAML.
     pub fn to_yaml(&self) -> Result<String, settings::Error> {
         serde_yaml_ng::to_string(self).map_err(|error| settings::Error::Form(error.to_string()))
     }
--- a/crates/daemon/src/settings/listen.rs
+++ b/crates/daemon/src/settings/listen.rs
@@ -1,18 +1,18 @@
-//! Where the daemon listens.
+//! The addresses on which the daemon listens.
 
 use std::net;
 
-/// Holds the addresses on which the daemon listens; port 0 takes any free port.
+/// The addresses on which the daemon listens; port 0 selects any free port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// The address for callers.
     pub callers: net::SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: net::SocketAddr,
-    /// For the other daemons.
+    /// The address for the other daemons.
     pub peers: net::SocketAddr,
-    /// For the scraping of metrics.
+    /// The address at which metrics are scraped.
     pub metrics: net::SocketAddr,
 }
 
--- a/crates/daemon/src/settings/logs.rs
+++ b/crates/daemon/src/settings/logs.rs
@@ -1,10 +1,10 @@
-//! What is logged.
+//! Settings of the logs.
 
-/// Holds what is logged, as JSON lines on standard error.
+/// The settings of the logs, which are written as JSON lines to standard error.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Logs {
-    /// The least level: `error`, `warn`, `info`, `debug` or `trace`.
+    /// The minimum level of the messages that are logged: `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: log::LevelFilter,
 }
 
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: one YAML file, every key checked.
+//! The daemon's settings, read from one YAML file. Unknown keys and values out of range are errors.
 
 mod callers;
 mod check;
--- a/crates/daemon/src/settings/operators.rs
+++ b/crates/daemon/src/settings/operators.rs
@@ -1,13 +1,13 @@
-//! Who may operate the system.
+//! Settings of the operators' API.
 
 use crate::operators;
 
-/// Holds who may operate the system, and the limits of the operators' face.
+/// The tokens of operators and the limits of their API.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operators {
     /// SHA-256 hashes of the operators' tokens, 64 lower-case hexadecimal digits each.
     pub token_hashes: Vec<String>,
-    /// Limits of the face.
+    /// The limits of the API.
     pub limits: operators::Settings,
 }
--- a/crates/daemon/src/settings/peers.rs
+++ b/crates/daemon/src/settings/peers.rs
@@ -1,4 +1,4 @@
-//! How the daemon finds the others and proves itself to them.
+//! How the daemon finds the other daemons and authenticates to them.
 
 use std::net;
 
@@ -6,16 +6,16 @@
 
 use crate::settings;
 
-/// Holds how the daemon finds the others and proves itself to them.
+/// The settings of how the daemon finds the other daemons and authenticates to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Peers {
-    /// The shared keys, 16 bytes or longer: the first signs, all verify.
+    /// The shared keys of at least 16 bytes each; the first signs, and all verify. At least one is required.
     pub keys: Vec<settings::Secret>,
-    /// Peer addresses of other daemons, for the start; the host list brings more.
+    /// The peer addresses of other daemons to contact at the start; the list of hosts provides more.
     pub seeds: Vec<net::SocketAddr>,
-    /// Where others reach this daemon, if that is not where it listens.
+    /// The address at which other daemons reach this one, if it differs from the address on which it listens.
     pub advertise: Option<net::SocketAddr>,
-    /// Limits of the connections.
+    /// The limits of the connections.
     pub limits: peer::Limits,
 }
--- a/crates/daemon/src/settings/platform.rs
+++ b/crates/daemon/src/settings/platform.rs
@@ -1,18 +1,18 @@
-//! Where the platform's services are.
+//! The addresses of the platform's services.
 
 use std::{net, time};
 
 use trefoildyke_wire::platform;
 
-/// Holds the addresses of the platform's services.
+/// The addresses of the platform's services, and the timeout of calls to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Platform {
-    /// The key-value service.
+    /// The address of the key-value service.
     pub kv: net::SocketAddr,
-    /// The list of hosts.
+    /// The address of the service that provides the list of hosts.
     pub hosts: net::SocketAddr,
-    /// How long a call may take, in milliseconds; from 10 to 60,000.
+    /// The timeout of a call, in milliseconds; from 10 to 60,000.
     pub call_ms: u64,
 }
 
@@ -27,14 +27,14 @@
 }
 
 impl Platform {
-    /// Returns the settings of the key-value service's client.
+    /// Returns the settings of the client of the key-value service.
     pub const fn kv_settings(&self) -> platform::KvSettings {
         let mut settings = platform::KvSettings::new(self.kv);
         settings.deadline = self.call();
         settings
     }
 
-    /// Returns how long a call may take.
+    /// Returns the timeout of a call.
     pub const fn call(&self) -> time::Duration {
         time::Duration::from_millis(self.call_ms)
     }
--- a/crates/daemon/src/settings/secret.rs
+++ b/crates/daemon/src/settings/secret.rs
@@ -1,19 +1,19 @@
-//! Values that are never shown.
+//! Values that are never printed.
 
 use std::fmt;
 
-/// Holds a value that is read from the settings and never printed.
+/// A value that is read from the settings and never printed.
 #[derive(Clone, PartialEq, Eq, serde::Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Creates a secret.
+    /// Creates a secret from its value.
     pub fn new(text: &str) -> Self {
         Self(text.to_owned())
     }
 
-    /// Returns the value, for whoever has to use it.
+    /// Returns the value.
     pub fn reveal(&self) -> &str {
         &self.0
     }
