--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -1,27 +1,27 @@
-//! What the coordinator gives back for an accepted request.
+//! The coordinator's answer to an accepted request.
 
 use tokio::sync::mpsc;
 use trefoildyke_types::{id, request};
 
-/// Holds one thing that a caller is told after its request was accepted.
+/// An event that is sent to a caller after its request was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerEvent {
-    /// A piece of the answer; the last one carries `finish`.
+    /// A chunk of the answer; `finish` is set on the last one.
     Chunk(request::Chunk),
     /// The final refusal.
     Refused(request::Refusal),
 }
 
-/// Holds the answer to an accepted request.
+/// The answer to an accepted request.
 ///
-/// Dropping it tells the coordinator that the caller has gone.
+/// Dropping it tells the coordinator that the caller has disconnected.
 #[derive(Debug)]
 pub struct Answer {
-    /// The caller's identifier or the issued one.
+    /// The identifier of the request, chosen by the caller or issued by the daemon.
     pub id: id::RequestId,
-    /// Chunks in order of their offsets without a gap, then a last chunk or a refusal.
+    /// Chunks in order of their offsets without gaps; the last event is a chunk with `finish` or a refusal.
     ///
-    /// A channel that closes before either means that the daemon is ending; the caller may come
-    /// back with the identifier.
+    /// If the channel closes before the last event, the daemon is shutting down or has abandoned the answer.
+    /// The caller may try again with the identifier.
     pub events: mpsc::Receiver<AnswerEvent>,
 }
--- a/crates/daemon/src/callers/check.rs
+++ b/crates/daemon/src/callers/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a caller's request against the configuration.
+//! Checks of callers' requests against the configuration and size limits.
 
 use std::time;
 
@@ -7,22 +7,22 @@
 
 use crate::callers::Submission;
 
-/// The most tokens of a prompt and of an answer.
+/// The maximum number of tokens in a prompt, and of an answer.
 const MAX_TOKENS: u32 = 4_000_000;
-/// The most prefix blocks of a prompt.
+/// The maximum number of prefix blocks of a prompt.
 const MAX_BLOCKS: usize = 65_536;
-/// The longest deadline, in milliseconds: a day.
+/// The longest deadline, in milliseconds (one day).
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// The longest name of a service's operation.
-const MAX_OPERATION: usize = 128;
-/// About how many bytes of text make a token.
+/// The maximum length of the name of a service's operation, in bytes.
+const MAX_OPERATION_BYTES: usize = 128;
+/// The approximate number of bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Checks a request and finds its tier.
+/// Checks a request and returns it with its tier and its defaults applied.
 ///
 /// # Errors
 ///
-/// Returns an `invalid` refusal that names the field and the remedy.
+/// Returns an `invalid` refusal that names the field at fault and the remedy.
 pub fn submission(
     snapshot: &config::Snapshot,
     account: &id::AccountName,
@@ -36,7 +36,7 @@
         account: account.clone(),
         rank: tier.rank,
         deadline: time::Duration::from_millis(deadline_ms),
-        prompt_tokens: spec.prompt_tokens.unwrap_or_else(|| estimate(&spec.input)),
+        prompt_tokens: spec.prompt_tokens.unwrap_or_else(|| estimate_tokens(&spec.input)),
         spec,
     })
 }
@@ -50,8 +50,8 @@
         return Err(invalid("no_such_pool", remedy));
     };
     match (&pool.protocol, &spec.target) {
-        (resource::PoolProtocol::Engine { model }, request::Target::Model(wanted)) => {
-            if wanted == model {
+        (resource::PoolProtocol::Engine { model }, request::Target::Model(requested)) => {
+            if requested == model {
                 return Ok(());
             }
             let remedy =
@@ -71,8 +71,11 @@
 }
 
 fn check_operation(operation: &str) -> Result<(), request::Refusal> {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-    if !operation.is_empty() && operation.len() <= MAX_OPERATION && operation.bytes().all(plain) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    if !operation.is_empty()
+        && operation.len() <= MAX_OPERATION_BYTES
+        && operation.bytes().all(is_allowed)
+    {
         return Ok(());
     }
     Err(invalid(
@@ -117,7 +120,7 @@
     })
 }
 
-fn estimate(input: &str) -> u32 {
+fn estimate_tokens(input: &str) -> u32 {
     u32::try_from(input.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX).min(MAX_TOKENS)
 }
 
--- a/crates/daemon/src/callers/coordinator.rs
+++ b/crates/daemon/src/callers/coordinator.rs
@@ -1,4 +1,4 @@
-//! How the face reaches the coordinator.
+//! The calls from the HTTP API to the coordinator.
 
 use std::sync;
 
@@ -7,14 +7,14 @@
 
 use crate::callers::{Answer, Submission};
 
-/// Resolves to the answer of an accepted request or to the refusal.
+/// A future that resolves to the answer of an accepted request or to a refusal.
 pub type Reply = future::BoxFuture<'static, Result<Answer, request::Refusal>>;
 
-/// Holds the coordinator's two ways in.
+/// The two calls that the coordinator offers to the HTTP API.
 #[derive(Clone)]
 pub struct Coordinator {
-    /// Takes a request, or refuses it before it is accepted.
+    /// Accepts a request and returns its answer, or refuses it.
     pub submit: sync::Arc<dyn Fn(Submission) -> Reply + Send + Sync>,
-    /// Returns to the answer of a request from an output offset.
+    /// Returns the answer of an earlier request from an output offset on, in tokens.
     pub resume: sync::Arc<dyn Fn(id::RequestKey, u64) -> Reply + Send + Sync>,
 }
--- a/crates/daemon/src/callers/face.rs
+++ b/crates/daemon/src/callers/face.rs
@@ -1,4 +1,4 @@
-//! What the callers' face is made of.
+//! Routing, authentication and responses of the HTTP API for callers.
 
 use std::sync;
 
@@ -14,24 +14,24 @@
     config, settings,
 };
 
-/// How many events of one answer wait for a slow caller.
-const WAITING_EVENTS: usize = 64;
-/// When to come back to a daemon that has just started, in milliseconds.
-const STARTING_MS: u64 = 200;
+/// How many events of one answer are buffered for a slow caller.
+const EVENT_BUFFER: usize = 64;
+/// The retry delay in refusals of a daemon that has no configuration yet, in milliseconds.
+const STARTING_RETRY_MS: u64 = 200;
 
 type Reply = Result<hyper::Response<http::Body>, request::Refusal>;
 
-/// Answers callers.
+/// The HTTP API for callers.
 pub struct Face {
     settings: settings::Callers,
     config: config::Handle,
     coordinator: Coordinator,
-    /// Joins the tasks that write streams.
+    /// Runs the tasks that write event streams.
     streams: kernel::Scope,
 }
 
 impl Face {
-    /// Creates the face over the configuration and the coordinator.
+    /// Creates the API, which uses the configuration and the coordinator; `streams` runs the stream tasks.
     pub const fn new(
         settings: settings::Callers,
         config: config::Handle,
@@ -41,11 +41,11 @@
         Self { settings, config, coordinator, streams }
     }
 
-    /// Answers one call.
+    /// Answers one call; a refusal becomes a response.
     ///
     /// # Errors
     ///
-    /// Never; the type is what [`http::Server`] asks for.
+    /// Never returns an error; [`http::Server`] requires the type.
     pub async fn answer(
         self: sync::Arc<Self>,
         call: http::Call,
@@ -60,9 +60,11 @@
         match (&parts.method, segments.as_slice()) {
             (&Method::GET, ["v1", "health"]) => Ok(self.health()),
             (&Method::POST, ["v1", "requests"]) if !self.is_configured() => {
-                Err(self.refuse_early(body).await)
+                Err(self.refuse_unconfigured(body).await)
+            }
+            (&Method::GET, ["v1", "requests", _]) if !self.is_configured() => {
+                Err(starting_refusal(true))
             }
-            (&Method::GET, ["v1", "requests", _]) if !self.is_configured() => Err(early(true)),
             (&Method::POST, ["v1", "requests"]) => {
                 let account = self.authorize(&parts.headers)?;
                 self.submit(&account, body).await
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Returns whether this daemon has learned the configuration, without which it knows no key.
+    /// Returns whether this daemon has received a configuration; before that it knows no API keys.
     fn is_configured(&self) -> bool {
         self.config.snapshot().version() > 0
     }
@@ -93,18 +95,21 @@
         }
     }
 
-    /// Refuses a request before anything is known; what may be a retry may have run elsewhere.
-    async fn refuse_early(&self, body: body::Incoming) -> request::Refusal {
+    /// Returns the refusal of a request that arrived before the configuration.
+    ///
+    /// A possible retry is refused with an unknown outcome, because an earlier attempt may have run elsewhere.
+    /// A body that cannot be read counts as a possible retry.
+    async fn refuse_unconfigured(&self, body: body::Incoming) -> request::Refusal {
         let limit = self.settings.body_bytes;
         let spec = http::read_json(body, limit, self.settings.body_wait()).await;
-        early(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_second()))
+        starting_refusal(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_second()))
     }
 
     fn authorize(&self, headers: &hyper::HeaderMap) -> Result<id::AccountName, request::Refusal> {
         let header = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
         let key = header.and_then(|value| value.strip_prefix("Bearer "));
         let account = key.and_then(|key| {
-            // Only the hash is compared, so the time it takes tells nothing about a key.
+            // Only hashes are compared, so the duration of the comparison reveals nothing about a key.
             let hash = decided::KeyHash::new(sha2::Sha256::digest(key.as_bytes()).into());
             self.config.snapshot().account_by_key(&hash).cloned()
         });
@@ -121,7 +126,7 @@
         let limit = self.settings.body_bytes;
         let spec: request::RequestSpec = http::read_json(body, limit, self.settings.body_wait())
             .await
-            .map_err(|error| reply::from_error(&error))?;
+            .map_err(|error| reply::body_refusal(&error))?;
         let submission = check::submission(&self.config.snapshot(), account, spec)?;
         let answer = (self.coordinator.submit)(submission).await?;
         Ok(self.stream(answer))
@@ -132,29 +137,29 @@
             request::Refusal::new(request::RefusalKind::Invalid, "bad_id", error.to_string())
         })?;
         let answer =
-            (self.coordinator.resume)(id::RequestKey { account, id }, offset(query)?).await?;
+            (self.coordinator.resume)(id::RequestKey { account, id }, parse_offset(query)?).await?;
         Ok(self.stream(answer))
     }
 
     fn stream(&self, answer: Answer) -> hyper::Response<http::Body> {
-        let (sender, response) = http::EventSender::new(WAITING_EVENTS);
-        let ending = self.streams.token().clone();
+        let (sender, response) = http::EventSender::new(EVENT_BUFFER);
+        let shutdown = self.streams.token().clone();
         self.streams
-            .spawn_isolated("stream", stream::run(sender, answer, self.settings.beat(), ending));
+            .spawn_isolated("stream", stream::run(sender, answer, self.settings.beat(), shutdown));
         response
     }
 }
 
-fn early(is_second: bool) -> request::Refusal {
-    let kind = match is_second {
+fn starting_refusal(may_be_second: bool) -> request::Refusal {
+    let kind = match may_be_second {
         true => request::RefusalKind::OutcomeUnknown,
         false => request::RefusalKind::NotRun,
     };
     let remedy = "this daemon has just started and knows no configuration: try another host";
-    request::Refusal::new(kind, "starting", remedy).retry_after(STARTING_MS)
+    request::Refusal::new(kind, "starting", remedy).retry_after(STARTING_RETRY_MS)
 }
 
-fn offset(query: Option<&str>) -> Result<u64, request::Refusal> {
+fn parse_offset(query: Option<&str>) -> Result<u64, request::Refusal> {
     let Some(query) = query else {
         return Ok(0);
     };
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,7 +1,8 @@
-//! The callers' HTTP face.
+//! The HTTP API for callers.
 //!
-//! It checks the account's key and the request, opens the stream with the request's identifier and
-//! passes on what the coordinator says, a refusal at once.
+//! It authenticates the client account, checks the request and answers with an event stream. The first event
+//! carries the request's identifier, the following ones the coordinator's answer. A refusal before acceptance
+//! is answered immediately, without a stream.
 
 mod answer;
 mod check;
--- a/crates/daemon/src/callers/reply.rs
+++ b/crates/daemon/src/callers/reply.rs
@@ -1,10 +1,10 @@
-//! Refusals as HTTP answers.
+//! Conversion of refusals into HTTP responses.
 
 use hyper::{StatusCode, header};
 use trefoildyke_types::{error, request};
 use trefoildyke_wire::http;
 
-/// Returns the answer that carries a refusal, with `Retry-After` in whole seconds.
+/// Returns the response for a refusal, with `Retry-After` rounded up to whole seconds.
 pub(crate) fn refusal(refusal: &request::Refusal) -> hyper::Response<http::Body> {
     let status = match refusal.kind {
         request::RefusalKind::NotRun => StatusCode::SERVICE_UNAVAILABLE,
@@ -13,15 +13,15 @@
         request::RefusalKind::Unauthorized => StatusCode::UNAUTHORIZED,
         request::RefusalKind::Failed => StatusCode::BAD_GATEWAY,
     };
-    let mut reply = http::json(status, refusal);
+    let mut response = http::json(status, refusal);
     if let Some(ms) = refusal.retry_after_ms {
-        reply.headers_mut().insert(header::RETRY_AFTER, ms.div_ceil(1_000).into());
+        response.headers_mut().insert(header::RETRY_AFTER, ms.div_ceil(1_000).into());
     }
-    reply
+    response
 }
 
-/// Returns the refusal for a body that could not be read.
-pub(crate) fn from_error(error: &error::Error) -> request::Refusal {
+/// Returns the refusal for a request body that could not be read.
+pub(crate) fn body_refusal(error: &error::Error) -> request::Refusal {
     let reason = match error.kind {
         error::ErrorKind::TooLarge => "body_too_large",
         error::ErrorKind::Unavailable => "body_incomplete",
--- a/crates/daemon/src/callers/stream.rs
+++ b/crates/daemon/src/callers/stream.rs
@@ -1,4 +1,4 @@
-//! The event stream that a caller reads.
+//! The event stream that is sent to a caller.
 
 use std::time;
 
@@ -7,44 +7,44 @@
 
 use crate::callers::{Answer, AnswerEvent};
 
-/// Tells the caller its identifier, first of all.
+/// The data of the first event of a stream: the identifier of the request.
 #[derive(serde::Serialize)]
 struct Accepted {
     id: trefoildyke_types::id::RequestId,
 }
 
-/// Passes an answer on until its end, until the caller has gone or until the daemon ends.
+/// Forwards an answer until it ends, the caller disconnects or the daemon shuts down.
 ///
-/// A stream that ends early is broken off, so that it cannot be taken for a whole one.
+/// A stream that ends early is aborted, so that the caller cannot take it for a complete one.
 pub(crate) async fn run(
     sender: http::EventSender,
     answer: Answer,
-    beat: time::Duration,
-    ending: CancellationToken,
+    heartbeat: time::Duration,
+    shutdown: CancellationToken,
 ) -> Result<(), http::Aborted> {
     tokio::select! {
-        result = pass_on(&sender, answer, beat) => match result {
+        result = forward(&sender, answer, heartbeat) => match result {
             Ok(true) => return Ok(()),
             Ok(false) => {}
-            // The caller has gone and can come back with the identifier.
+            // The caller has disconnected and can resume with the identifier.
             Err(http::Aborted) => return Ok(()),
         },
         () = sender.closed() => return Ok(()),
-        () = ending.cancelled() => {}
+        () = shutdown.cancelled() => {}
     }
     sender.abort().await;
     Ok(())
 }
 
-/// Returns whether the answer came to its end.
-async fn pass_on(
+/// Forwards the events of an answer; returns whether its last event was sent.
+async fn forward(
     sender: &http::EventSender,
     mut answer: Answer,
-    beat: time::Duration,
+    heartbeat: time::Duration,
 ) -> Result<bool, http::Aborted> {
     sender.event("accepted", &Accepted { id: answer.id }).await?;
     loop {
-        match tokio::time::timeout(beat, answer.events.recv()).await {
+        match tokio::time::timeout(heartbeat, answer.events.recv()).await {
             Err(_) => sender.comment("beat").await?,
             Ok(None) => return Ok(false),
             Ok(Some(AnswerEvent::Refused(refusal))) => {
--- a/crates/daemon/src/callers/submission.rs
+++ b/crates/daemon/src/callers/submission.rs
@@ -1,20 +1,20 @@
-//! A request whose account and form have been checked.
+//! A request that has been checked against the configuration.
 
 use std::time;
 
 use trefoildyke_types::{id, request};
 
-/// Holds a request whose account, pool, class and sizes have been checked.
+/// A request whose account, pool, class and sizes have been checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The account that owns the key.
+    /// The client account that the API key belongs to.
     pub account: id::AccountName,
-    /// The rank of the tier that the account's class maps to.
+    /// The rank of the tier that the account maps the request's class to; 0 is the most urgent.
     pub rank: u8,
-    /// How long the caller waits; the tier's default if the caller named nothing.
+    /// How long the caller waits; the tier's default if the caller gave no deadline.
     pub deadline: time::Duration,
-    /// The prompt's length in tokens, estimated from the input if the caller named none.
+    /// The prompt's length in tokens, estimated from the input if the caller gave none.
     pub prompt_tokens: u32,
-    /// The caller's body.
+    /// The body of the caller's request.
     pub spec: request::RequestSpec,
 }
--- a/crates/daemon/src/clock/mod.rs
+++ b/crates/daemon/src/clock/mod.rs
@@ -1,45 +1,45 @@
-//! The two clocks of the daemon.
+//! The daemon's monotonic clock and wall clock.
 
 use std::time;
 
 use trefoildyke_decide::coordinate;
 use trefoildyke_types::time::Timestamp;
 
-/// Reads the monotonic clock, counted from the daemon's start, and the wall clock.
+/// A reader of the wall clock and of a monotonic clock that starts at zero when the reader is created.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: tokio::time::Instant,
 }
 
 impl Clock {
-    /// Creates a clock whose monotonic time begins now.
+    /// Creates a clock whose monotonic time is zero now.
     pub fn start() -> Self {
         Self { origin: tokio::time::Instant::now() }
     }
 
-    /// Returns the instant at which the monotonic time began.
+    /// Returns the instant at which the monotonic time was zero.
     pub const fn origin(&self) -> tokio::time::Instant {
         self.origin
     }
 
-    /// Returns the monotonic time.
+    /// Returns the current monotonic time.
     pub fn mono(&self) -> Timestamp {
         Timestamp::ZERO + self.origin.elapsed()
     }
 
-    /// Returns the instant of a monotonic time.
+    /// Converts a monotonic time into an instant.
     pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
         self.origin + time::Duration::from_micros(at.as_micros())
     }
 
-    /// Returns both clocks.
+    /// Returns the current time of both clocks, the wall clock in milliseconds elapsed the Unix epoch.
     pub fn now(&self) -> coordinate::Now {
         coordinate::Now { mono: self.mono(), unix_ms: unix_us() / 1_000 }
     }
 }
 
-/// Returns the wall clock in microseconds since the Unix epoch.
+/// Returns the wall clock in microseconds since the Unix epoch; 0 if the clock is set before the epoch.
 pub fn unix_us() -> u64 {
-    let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-    since.map_or(0, |since| u64::try_from(since.as_micros()).unwrap_or(u64::MAX))
+    let elapsed = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/daemon/src/hosts/handle.rs
+++ b/crates/daemon/src/hosts/handle.rs
@@ -1,4 +1,4 @@
-//! How other services see the platform's list.
+//! The handle through which other services read the platform's host list.
 
 use std::sync;
 
@@ -7,25 +7,25 @@
 
 use crate::hosts;
 
-/// Reads the last list that the platform gave. Clones read the same.
+/// A handle to the last host list that was read from the platform. Clones share the list.
 #[derive(Clone, Debug)]
 pub struct Handle {
     readings: watch::Receiver<Option<hosts::Reading>>,
 }
 
-/// Creates the service: the handle for the others and the poller to run.
+/// Creates the handle for the other services and the poller that must run to update it.
 pub fn new(settings: hosts::Settings, client: platform::HostsClient) -> (Handle, hosts::Poller) {
     let (sender, readings) = watch::channel(None);
     (Handle { readings }, hosts::Poller::new(settings, client, sender))
 }
 
 impl Handle {
-    /// Returns the last list read, or `None` before the first.
+    /// Returns the last list read, or `None` before the first successful read.
     pub fn list(&self) -> Option<sync::Arc<message::HostList>> {
         self.readings.borrow().as_ref().map(|reading| sync::Arc::clone(&reading.list))
     }
 
-    /// Returns a receiver that sees each reading, also one that shows nothing new.
+    /// Returns a receiver that is notified of each successful read, even if the list is unchanged.
     pub fn subscribe(&self) -> watch::Receiver<Option<hosts::Reading>> {
         self.readings.clone()
     }
--- a/crates/daemon/src/hosts/mod.rs
+++ b/crates/daemon/src/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's list of hosts for the whole daemon.
+//! The service that polls the platform's host list for all services of the daemon.
 
 mod handle;
 mod poller;
--- a/crates/daemon/src/hosts/poller.rs
+++ b/crates/daemon/src/hosts/poller.rs
@@ -1,13 +1,13 @@
-//! Reads the list again and again.
+//! Polling of the platform's host list.
 
 use tokio::sync::watch;
 use trefoildyke_wire::platform::{self, message};
 
 use crate::hosts;
 
-/// Reads the platform's list; run it on the control thread.
+/// Polls the platform's host list. It must run on the control thread.
 #[derive(Debug)]
-#[must_use = "a handle shows no list until the poller runs"]
+#[must_use = "a handle has no list until the poller runs"]
 pub struct Poller {
     settings: hosts::Settings,
     client: platform::HostsClient,
@@ -23,9 +23,9 @@
         Self { settings, client, readings }
     }
 
-    /// Reads until every handle is gone; cancel it by dropping the future.
+    /// Polls until every handle is dropped. Drop the future to cancel it.
     ///
-    /// While the platform does not answer, the last list stands.
+    /// While the platform does not answer, handles keep the last list.
     pub async fn run(self) {
         let mut failing = false;
         while !self.readings.is_closed() {
@@ -37,7 +37,7 @@
                 }
                 Err(error) => {
                     if !failing {
-                        log::warn!("cannot read the host list, the last one stands: {error}");
+                        log::warn!("cannot read the host list; keeping the last one: {error}");
                     }
                     failing = true;
                 }
--- a/crates/daemon/src/hosts/reading.rs
+++ b/crates/daemon/src/hosts/reading.rs
@@ -1,30 +1,32 @@
-//! One reading of the platform's list.
+//! One successful read of the platform's host list.
 
 use std::sync;
 
 use trefoildyke_decide::endpoints;
 use trefoildyke_wire::platform::message;
 
-/// Holds one reading of the platform's list; readings of equal hosts share them.
+/// One successful read of the platform's host list.
+///
+/// Consecutive reads of equal hosts share the list of the first one; only `begun` differs.
 #[derive(Clone, Debug)]
 pub struct Reading {
-    /// When the reading was begun: changes listed after it are not in it.
+    /// When the read started. Changes that the platform listed later may be missing.
     pub begun: tokio::time::Instant,
-    /// The list.
+    /// The host list.
     pub list: sync::Arc<message::HostList>,
-    /// The list's hosts by state.
+    /// The hosts of the list, grouped by state.
     pub hosts: sync::Arc<endpoints::Hosts>,
 }
 
 impl Reading {
-    /// Creates the reading of a list.
+    /// Creates a reading of `list` that started at `begun`.
     pub fn new(begun: tokio::time::Instant, list: message::HostList) -> Self {
-        let hosts = sync::Arc::new(by_state(&list));
+        let hosts = sync::Arc::new(group_by_state(&list));
         Self { begun, list: sync::Arc::new(list), hosts }
     }
 }
 
-fn by_state(list: &message::HostList) -> endpoints::Hosts {
+fn group_by_state(list: &message::HostList) -> endpoints::Hosts {
     let mut hosts = endpoints::Hosts::default();
     for host in &list.hosts {
         match host.state {
--- a/crates/daemon/src/hosts/settings.rs
+++ b/crates/daemon/src/hosts/settings.rs
@@ -1,12 +1,12 @@
-//! Settings of the service.
+//! Settings of the host list service.
 
 use std::time;
 
-/// Settings of the host list's service.
+/// Holds the settings of the host list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How long to wait between two readings, in milliseconds; at least 1.
+    /// How long to wait between the end of one read and the start of the next, in milliseconds; at least 1.
     pub interval_ms: u64,
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The services of the daemon.
+//! The services that make up a daemon.
 
 pub mod callers;
 pub mod clock;
--- a/crates/daemon/src/metrics/handle.rs
+++ b/crates/daemon/src/metrics/handle.rs
@@ -1,4 +1,4 @@
-//! Measuring and showing what was measured.
+//! Recording and exporting of metrics.
 
 use std::ops;
 
@@ -8,24 +8,24 @@
 
 use crate::metrics;
 
-/// The name under which everything is measured.
+/// The name of the meter of all instruments.
 const METER: &str = "trefoildyke";
 
-/// Measures; published as `metrics`.
+/// A handle to record and export metrics; published as `metrics`. Clones share the instruments.
 #[derive(Clone, Debug)]
 pub struct Handle {
     instruments: metrics::Instruments,
     registry: prometheus::Registry,
-    /// Keeps the instruments connected.
+    /// Keeps the instruments connected to the registry.
     provider: sdk::SdkMeterProvider,
 }
 
 impl Handle {
-    /// Creates the instruments.
+    /// Creates the instruments and the registry that exports them.
     ///
     /// # Errors
     ///
-    /// Fails if the exporter cannot be registered.
+    /// Returns an error if the exporter cannot be registered.
     pub fn new() -> anyhow::Result<Self> {
         let registry = prometheus::Registry::new();
         let exporter =
@@ -35,16 +35,16 @@
         Ok(Self { instruments, registry, provider })
     }
 
-    /// Returns the meter, for instruments that a service reads only when it is scraped.
+    /// Returns the meter, for instruments whose values a service computes at each scrape.
     pub fn meter(&self) -> opentelemetry::metrics::Meter {
         self.provider.meter(METER)
     }
 
-    /// Returns everything measured so far in the Prometheus text format.
+    /// Returns the current values of all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails if a value cannot be written.
+    /// Returns an error if a value cannot be encoded.
     pub fn text(&self) -> Result<String, prometheus::Error> {
         let mut text = Vec::new();
         prometheus::TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/daemon/src/metrics/instruments.rs
+++ b/crates/daemon/src/metrics/instruments.rs
@@ -1,25 +1,25 @@
-//! What is measured.
+//! The instruments of the daemon's metrics.
 
 use opentelemetry::metrics;
 
-/// Holds the instruments that services write to.
+/// The instruments that the services record to.
 #[derive(Clone, Debug)]
 pub struct Instruments {
-    /// Requests that were accepted, by tier and pool.
+    /// Accepted requests, labelled with the rank of their tier.
     pub accepted: metrics::Counter<u64>,
-    /// Final answers, by outcome and reason.
+    /// Finished requests, labelled with the reason of their end.
     pub finished: metrics::Counter<u64>,
     /// Requests in progress.
     pub active: metrics::UpDownCounter<i64>,
-    /// The time from acceptance to the first token, in milliseconds.
+    /// The time from acceptance of a request to its first token, in milliseconds.
     pub first_token: metrics::Histogram<f64>,
-    /// The time that recording an intent takes, in milliseconds.
+    /// The time that writing a record of a request takes, in milliseconds.
     pub record: metrics::Histogram<f64>,
-    /// Permits that were asked for, by whether the scheduler is this daemon.
+    /// Permits that were asked for, without labels.
     pub asks: metrics::Counter<u64>,
-    /// Tokens passed on to callers.
+    /// Tokens of answers that arrived at this daemon to be delivered to callers.
     pub tokens: metrics::Counter<u64>,
-    /// Streams that were resumed or attached to.
+    /// Streams resumed at an endpoint or followed at another coordinator, labelled with which of the two.
     pub resumed: metrics::Counter<u64>,
 }
 
@@ -44,15 +44,15 @@
 fn counter(
     meter: &metrics::Meter,
     name: &'static str,
-    about: &'static str,
+    description: &'static str,
 ) -> metrics::Counter<u64> {
-    meter.u64_counter(name).with_description(about).build()
+    meter.u64_counter(name).with_description(description).build()
 }
 
 fn histogram(
     meter: &metrics::Meter,
     name: &'static str,
-    about: &'static str,
+    description: &'static str,
 ) -> metrics::Histogram<f64> {
-    meter.f64_histogram(name).with_description(about).build()
+    meter.f64_histogram(name).with_description(description).build()
 }
--- a/crates/daemon/src/metrics/mod.rs
+++ b/crates/daemon/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements of the daemon, served for scraping.
+//! The daemon's metrics, exposed in the Prometheus text format.
 
 mod handle;
 mod instruments;
--- a/crates/daemon/src/timeline/handle.rs
+++ b/crates/daemon/src/timeline/handle.rs
@@ -1,4 +1,4 @@
-//! Writing and reading the time line.
+//! Writing and reading of the timeline.
 
 use std::{collections, sync};
 
@@ -7,31 +7,32 @@
 
 use crate::clock;
 
+/// A ring buffer of events.
 #[derive(Debug)]
 struct Ring {
-    /// Consecutive events, the oldest first; never more than `limit`.
+    /// Consecutive events, the oldest dropped; at most `limit`.
     events: collections::VecDeque<event::Event>,
     limit: usize,
-    /// The position of the last event.
+    /// The sequence number of the last event; the first event has 1.
     seq: u64,
 }
 
-/// Writes and reads the time line; published as `timeline`.
+/// A handle to write and read the timeline; published as `timeline`. Clones share the events.
 ///
-/// The logical clock of an event is a Lamport clock that never lags behind the wall clock in
-/// microseconds. So events that depend on one another through messages are in order whatever the
-/// hosts' clocks say, and the others nearly so.
+/// The logical clock of an event is a Lamport clock whose value at an event is at least the wall clock in
+/// microseconds. Events that depend on one another through messages are therefore in causal order, however
+/// far the hosts' wall clocks differ, and other events are in approximate order of time.
 #[derive(Clone, Debug)]
 pub struct Handle {
     host: id::HostName,
     incarnation: id::Incarnation,
-    /// Shared with the connections to peers.
+    /// The logical clock, shared with the connections to peers.
     clock: peer::Clock,
     ring: sync::Arc<sync::Mutex<Ring>>,
 }
 
 impl Handle {
-    /// Creates the time line of one daemon, which keeps the last `limit` events.
+    /// Creates the timeline of one daemon, which keeps the last `limit` events.
     pub fn new(
         host: id::HostName,
         incarnation: id::Incarnation,
@@ -43,7 +44,7 @@
         Self { host, incarnation, clock, ring: sync::Arc::new(sync::Mutex::new(ring)) }
     }
 
-    /// Records a state change.
+    /// Appends an event; drops the oldest one if the timeline is full.
     pub fn record(&self, key: Option<&id::RequestKey>, kind: &str, detail: impl Into<String>) {
         let time_us = clock::unix_us();
         let mut ring = self.lock();
@@ -64,11 +65,11 @@
         ring.events.push_back(event);
     }
 
-    /// Returns at most `limit` events after position `after`.
+    /// Returns at most `limit` events whose sequence number is greater than `after`, the oldest dropped.
     pub fn read(&self, after: u64, limit: usize) -> message::EventPage {
         let ring = self.lock();
-        let first = ring.seq - ring.events.len() as u64;
-        let skip = usize::try_from(after.saturating_sub(first)).unwrap_or(usize::MAX);
+        let dropped = ring.seq - ring.events.len() as u64;
+        let skip = usize::try_from(after.saturating_sub(dropped)).unwrap_or(usize::MAX);
         let events: Vec<_> = ring.events.iter().skip(skip).take(limit).cloned().collect();
         let next = events.last().map_or(after, |event| event.seq);
         let more = next < ring.seq;
--- a/crates/daemon/src/timeline/mod.rs
+++ b/crates/daemon/src/timeline/mod.rs
@@ -1,6 +1,6 @@
-//! The time line: a bounded record of this daemon's state changes.
+//! The timeline: a bounded log of this daemon's state changes.
 //!
-//! Operators read it from every daemon and merge the parts by the logical clock.
+//! Operators read the timeline of every daemon and merge them by the logical clock of the events.
 
 mod handle;
 
