--- a/crates/daemon/src/callers/face.rs
+++ b/crates/daemon/src/callers/face.rs
@@ -62,9 +62,7 @@
             (&Method::POST, ["v1", "requests"]) if !self.is_configured() => {
                 Err(self.refuse_unconfigured(body).await)
             }
-            (&Method::GET, ["v1", "requests", _]) if !self.is_configured() => {
-                Err(starting_refusal(true))
-            }
+            (&Method::GET, ["v1", "requests", _]) if !self.is_configured() => Err(not_ready(true)),
             (&Method::POST, ["v1", "requests"]) => {
                 let account = self.authorize(&parts.headers)?;
                 self.submit(&account, body).await
@@ -97,12 +95,12 @@
 
     /// Returns the refusal of a request that arrived before the configuration.
     ///
-    /// A possible retry is refused with an unknown outcome, because an earlier attempt may have run elsewhere.
-    /// A body that cannot be read counts as a possible retry.
+    /// A possible retry is refused with an unknown outcome, because an earlier attempt may have run on
+    /// another daemon. A body that cannot be read counts as a possible retry.
     async fn refuse_unconfigured(&self, body: body::Incoming) -> request::Refusal {
         let limit = self.settings.body_bytes;
         let spec = http::read_json(body, limit, self.settings.body_wait()).await;
-        starting_refusal(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_second()))
+        not_ready(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_second()))
     }
 
     fn authorize(&self, headers: &hyper::HeaderMap) -> Result<id::AccountName, request::Refusal> {
@@ -150,7 +148,8 @@
     }
 }
 
-fn starting_refusal(may_be_second: bool) -> request::Refusal {
+/// Returns the refusal of a daemon that has no configuration yet.
+fn not_ready(may_be_second: bool) -> request::Refusal {
     let kind = match may_be_second {
         true => request::RefusalKind::OutcomeUnknown,
         false => request::RefusalKind::NotRun,
--- a/crates/daemon/src/coordinate/clients.rs
+++ b/crates/daemon/src/coordinate/clients.rs
@@ -1,25 +1,27 @@
-//! Clients of endpoints by address.
+//! Clients of engines by address.
 
 use std::{collections, net, sync};
 
 use trefoildyke_wire::endpoint;
 
-/// Keeps one client for each engine, so that its connections are shared.
+/// One client per engine address, so that requests to an engine share its connections.
 #[derive(Default)]
 pub(super) struct Clients {
     engines: sync::Mutex<collections::HashMap<net::SocketAddr, endpoint::EngineClient>>,
 }
 
-/// Above this many clients the unused ones are dropped together.
-const MOST: usize = 4_096;
+/// The maximum number of clients. When it is reached, the next lookup first drops all clients.
+///
+/// Operations in progress keep their own clones.
+const MAX_CLIENTS: usize = 4_096;
 
 impl Clients {
     pub(super) fn engine(&self, address: net::SocketAddr) -> endpoint::EngineClient {
         let mut engines = self.engines.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        if engines.len() >= MOST {
+        if engines.len() >= MAX_CLIENTS {
             engines.clear();
         }
-        let new = || endpoint::EngineClient::new(address, endpoint::Limits::default());
-        engines.entry(address).or_insert_with(new).clone()
+        let create = || endpoint::EngineClient::new(address, endpoint::Limits::default());
+        engines.entry(address).or_insert_with(create).clone()
     }
 }
--- a/crates/daemon/src/coordinate/conditions.rs
+++ b/crates/daemon/src/coordinate/conditions.rs
@@ -1,11 +1,11 @@
-//! What a daemon knows when a request arrives.
+//! The conditions under which a daemon decides on the admission of a request.
 
 use trefoildyke_decide::coordinate;
 
 use crate::coordinate::{entry, handle};
 
 impl handle::Context {
-    /// Returns the conditions for a request, given the one with the same key here.
+    /// Returns the current conditions; `local` is the request with the same key at this daemon, if any.
     pub(super) fn conditions(
         &self,
         local: Option<&entry::Entry>,
@@ -25,8 +25,9 @@
         }
     }
 
-    /// Returns how long after its creation an identifier can be used, in milliseconds; the same on
-    /// all daemons.
+    /// Returns how long after its creation an identifier can be used, in milliseconds.
+    ///
+    /// All daemons use the same value.
     pub(super) fn retention_ms(&self) -> u64 {
         self.intents.layout().retention.keep_ms
     }
--- a/crates/daemon/src/coordinate/driver.rs
+++ b/crates/daemon/src/coordinate/driver.rs
@@ -1,4 +1,4 @@
-//! The task that moves one request from its admission to its final answer.
+//! The task that runs one request from its admission to its final answer.
 
 use std::{convert, sync, time};
 
@@ -12,34 +12,35 @@
 use trefoildyke_types::{id, request};
 
 use crate::{
-    coordinate::{busy, handle, job, kept, operations},
+    coordinate::{buffer, handle, in_flight, job, operations},
     endpoints, schedule,
 };
 
-/// How long to wait before asking again when a permit may not be used.
+/// How long to wait before asking for another permit after an unusable one.
 ///
-/// The scheduler learns of leaving endpoints as this daemon does, only a little later.
+/// The scheduler learns that an endpoint is leaving in the same way as this daemon, but may learn it later.
 const UNUSABLE_PAUSE: time::Duration = time::Duration::from_millis(100);
 
-/// How long to wait before another permit is asked for when an endpoint took no connection.
+/// How long to wait before asking for another permit after a connection to an endpoint failed.
 ///
-/// Longer than reports are collected, so that the scheduler knows by then.
+/// Longer than reports to the scheduler are batched by default, so that it knows of the failure by then.
 const CONNECT_PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// Runs one request.
+/// Runs one request: feeds inputs to its state and carries out the resulting actions.
 pub(super) struct Driver {
     context: sync::Arc<handle::Context>,
     job: job::Job,
     shard: Option<endpoints::Shard>,
-    /// What is waited for; there is never more than one thing.
+    /// The operation in progress; there is at most one at a time.
     operation: operations::Operation,
-    /// The permit that came last.
+    /// The last permit that the scheduler granted and that was usable.
     permit: Option<request::Permit>,
-    /// Whether the scheduler believes that the request runs at an endpoint.
+    /// Whether the scheduler has been told that the request runs at an endpoint.
     is_running: bool,
+    /// How long to wait before the next ask for a permit.
     pause: time::Duration,
-    /// Marks the endpoint at which the request is in progress.
-    mark: Option<busy::Mark>,
+    /// Counts the request as in progress at its endpoint.
+    guard: Option<in_flight::Guard>,
 }
 
 impl Driver {
@@ -53,51 +54,51 @@
             permit: None,
             is_running: false,
             pause: time::Duration::ZERO,
-            mark: None,
+            guard: None,
         }
     }
 
-    /// Runs until the final answer.
+    /// Runs until the state of the request is final.
     pub(super) async fn run(
         mut self,
         mut signals: mpsc::UnboundedReceiver<Input>,
     ) -> Result<(), convert::Infallible> {
         let deadline = self.context.clock.instant(self.job.deadline);
-        let mut passed = false;
-        let mut gone = None;
+        let mut deadline_passed = false;
+        let mut abandon_at = None;
         let mut isolation = self.context.isolation.changes();
         let first = std::mem::take(&mut self.job.actions);
-        self.carry_out(first);
+        self.run_actions(first);
         while !self.job.state.is_final() {
             let input = tokio::select! {
                 biased;
-                () = tokio::time::sleep_until(deadline), if !passed => {
-                    passed = true;
+                () = tokio::time::sleep_until(deadline), if !deadline_passed => {
+                    deadline_passed = true;
                     Input::DeadlinePassed
                 }
                 Some(signal) = signals.recv() => match signal {
                     Input::CallerGone => {
-                        gone = Some(time::Instant::now() + self.context.settings.linger());
+                        abandon_at = Some(time::Instant::now() + self.context.settings.linger());
                         continue;
                     }
                     signal => signal,
                 },
-                () = linger(gone) => {
-                    gone = None;
-                    // It may have come back meanwhile, here or through a peer.
+                () = sleep_until(abandon_at) => {
+                    abandon_at = None;
+                    // A caller may have resumed in the meantime, here or through a peer.
                     if self.job.entry.has_readers() {
                         continue;
                     }
                     Input::CallerGone
                 }
-                // The sender lives as long as the context.
+                // Never an error: the context holds the sender.
                 Ok(()) = isolation.changed() => match *isolation.borrow_and_update() {
                     true => Input::Isolated,
                     false => continue,
                 },
                 input = self.operation.next() => match input {
                     Some(input) => input,
-                    None => self.ended(),
+                    None => self.stream_ended(),
                 },
             };
             self.step(input);
@@ -106,8 +107,8 @@
         Ok(())
     }
 
-    /// An answer that ends without its last chunk is lost.
-    fn ended(&mut self) -> Input {
+    /// Returns the input for an operation that ended: an answer that ends without its last chunk is lost.
+    fn stream_ended(&mut self) -> Input {
         self.operation = operations::none();
         Input::StreamLost
     }
@@ -119,11 +120,11 @@
             Input::Recorded(_) | Input::LookedUp(_) => self.check_endpoint(),
             Input::ConnectFailed => self.connect_failed(),
             Input::Chunk(_) => {}
-            other => self.note("input", || format!("{other:?}")),
+            other => self.record_event("input", || format!("{other:?}")),
         }
         let is_unusable = matches!(input, Input::UnusablePermit(_));
         self.advance(input);
-        // While the daemon is cut off no permit can be used, so another one would not help.
+        // While the daemon is isolated no permit is usable, so it is useless to ask for another one.
         if is_unusable && self.context.isolation.is_isolated() {
             self.advance(Input::Isolated);
         }
@@ -132,10 +133,10 @@
     fn advance(&mut self, input: Input) {
         self.job.state.join(self.job.entry.is_second());
         let actions = self.job.state.step(self.context.clock.now(), input);
-        self.carry_out(actions);
+        self.run_actions(actions);
     }
 
-    /// Marks a permit that may not be used, as far as this daemon knows.
+    /// Turns a permit into an unusable one if this daemon knows that it must not be used.
     fn check_permit(&mut self, input: Input) -> Input {
         match input {
             Input::Permit(permit) if !self.is_usable(&permit.endpoint) => {
@@ -148,10 +149,10 @@
 
     /// Returns whether a permit for the endpoint may be used, as far as this daemon knows.
     fn is_usable(&self, endpoint: &id::EndpointName) -> bool {
-        !self.context.isolation.is_isolated() && self.context.takes_work(endpoint)
+        !self.context.isolation.is_isolated() && self.context.accepts_work(endpoint)
     }
 
-    /// Voids the permit if it became unusable while the intent was written.
+    /// Expires the permit if it became unusable while a record was written or read.
     fn check_endpoint(&mut self) {
         let endpoint = self.permit.as_ref().map(|permit| permit.endpoint.clone());
         if endpoint.is_some_and(|endpoint| !self.is_usable(&endpoint)) {
@@ -162,17 +163,17 @@
 
     fn connect_failed(&mut self) {
         self.pause = CONNECT_PAUSE;
-        self.mark = None;
-        self.finished(decide::Outcome::Failed);
+        self.guard = None;
+        self.report_finished(decide::Outcome::Failed);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn run_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.act(action);
+            self.run_action(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn run_action(&mut self, action: Action) {
         let key = self.job.entry.key.clone();
         let context = sync::Arc::clone(&self.context);
         match action {
@@ -180,14 +181,14 @@
             Action::Withdraw => self.operation = operations::none(),
             Action::HandBack(permit) => self.hand_back(&permit),
             Action::Record(record) => {
-                self.note("record", || describe(&record));
+                self.record_event("record", || describe_record(&record));
                 self.operation = operations::record(context, key, record);
             }
             Action::LookUp => self.operation = operations::look_up(context, key),
             Action::Dispatch(endpoint) => self.dispatch(&endpoint),
             Action::Resume { endpoint, offset } => self.resume(&endpoint, offset),
             Action::Attach { coordinator, offset } => {
-                self.note("attach", || format!("to {coordinator} at {offset}"));
+                self.record_event("attach", || format!("to {coordinator} at {offset}"));
                 self.context.metrics.resumed.add(1, &[KeyValue::new("way", "attach")]);
                 self.operation = operations::attach(context, coordinator, key, offset);
             }
@@ -202,18 +203,18 @@
     fn ask(&mut self) {
         let (Some(shard), Some(ask)) = (self.shard.clone(), self.job.ask(self.context.links.own))
         else {
-            // Only a caller that comes back for an answer has nothing to ask for.
+            // Without a submission, the caller only resumes an answer and needs no permit.
             self.operation = operations::none();
             return;
         };
         let context = sync::Arc::clone(&self.context);
         let pause = std::mem::take(&mut self.pause);
-        self.context.metrics.asks.add(1, &[]);
+        self.context.metrics.permits_asked.add(1, &[]);
         self.operation = operations::ask(context, shard, ask, self.job.deadline, pause);
     }
 
     fn hand_back(&self, permit: &request::Permit) {
-        self.note("handed_back", || format!("permit for {}", permit.endpoint));
+        self.record_event("handed_back", || format!("permit for {}", permit.endpoint));
         self.report(schedule::Note::HandBack { key: permit.key.clone() });
     }
 
@@ -224,14 +225,14 @@
             self.operation = futures::stream::iter([Input::ConnectFailed]).boxed();
             return;
         };
-        self.mark = Some(self.context.busy.mark(endpoint));
-        self.started();
-        self.note("dispatched", || endpoint.to_string());
+        self.guard = Some(self.context.in_flight.track(endpoint));
+        self.report_started();
+        self.record_event("dispatched", || endpoint.to_string());
         let left = self.job.deadline.since(self.context.clock.mono());
         self.operation = operations::dispatch(&self.context, &spec, key, &submission, left);
     }
 
-    fn started(&mut self) {
+    fn report_started(&mut self) {
         let ask = self.job.ask(self.context.links.own);
         if let (Some(mut ask), Some(permit)) = (ask, self.permit.clone()) {
             let left = self.job.deadline.since(self.context.clock.mono());
@@ -242,18 +243,18 @@
     }
 
     fn resume(&mut self, endpoint: &id::EndpointName, offset: u64) {
-        self.mark = Some(self.context.busy.mark(endpoint));
-        self.note("resumed", || format!("at {endpoint} from {offset}"));
+        self.guard = Some(self.context.in_flight.track(endpoint));
+        self.record_event("resumed", || format!("at {endpoint} from {offset}"));
         self.context.metrics.resumed.add(1, &[KeyValue::new("way", "endpoint")]);
-        self.take_over(endpoint);
+        self.report_takeover(endpoint);
         self.operation = match self.context.endpoint(endpoint) {
             Some(spec) => operations::resume(&self.context, &spec, &self.job.entry.key, offset),
             None => futures::stream::iter([Input::ResumeFailed]).boxed(),
         };
     }
 
-    /// Tells the scheduler of a request that another daemon has dispatched.
-    fn take_over(&mut self, endpoint: &id::EndpointName) {
+    /// Reports to the scheduler a request that another daemon has dispatched.
+    fn report_takeover(&mut self, endpoint: &id::EndpointName) {
         let ask = self.job.ask(self.context.links.own);
         if let (Some(ask), false) = (ask, self.is_running) {
             self.is_running = true;
@@ -262,12 +263,12 @@
     }
 
     fn cancel(&self, endpoint: &id::EndpointName) {
-        self.note("cancelled", || endpoint.to_string());
+        self.record_event("cancelled", || endpoint.to_string());
         let Some(spec) = self.context.endpoint(endpoint) else { return };
         let client = self.context.clients.engine(spec.address);
         let key = self.job.entry.key.clone();
         self.context.scope.spawn_isolated("cancel", async move {
-            // Plain services cannot be cancelled and say so.
+            // The result is ignored: plain services do not support cancellation and answer accordingly.
             let _ = client.cancel(&key).await;
             Ok::<(), convert::Infallible>(())
         });
@@ -279,7 +280,7 @@
         self.job.entry.push(chunk);
         if is_first {
             let waited = self.context.clock.mono().since(self.job.accepted);
-            self.context.metrics.first_token.record(waited.as_secs_f64() * 1_000.0, &[]);
+            self.context.metrics.first_token_time.record(waited.as_secs_f64() * 1_000.0, &[]);
         }
         if self.is_running {
             let key = self.job.entry.key.clone();
@@ -291,8 +292,8 @@
         u32::try_from(self.job.entry.len()).unwrap_or(u32::MAX)
     }
 
-    /// Tells the scheduler that the request left the endpoint, if it believes it there.
-    fn finished(&mut self, outcome: decide::Outcome) {
+    /// Reports to the scheduler that the request left the endpoint, unless it was never reported as running.
+    fn report_finished(&mut self, outcome: decide::Outcome) {
         if std::mem::take(&mut self.is_running) {
             let key = self.job.entry.key.clone();
             self.report(schedule::Note::Finished { key, tokens: self.tokens(), outcome });
@@ -301,19 +302,19 @@
 
     fn conclude(&mut self) {
         let entry = sync::Arc::clone(&self.job.entry);
-        // Does nothing if the answer or the refusal was given to the caller.
-        entry.finish(kept::End::Abandoned);
+        // Has no effect if the answer has already ended, complete or with a refusal.
+        entry.finish(buffer::End::Abandoned);
         let (outcome, reason) = match entry.end() {
-            Some(kept::End::Whole) => (decide::Outcome::Whole, "whole".to_owned()),
-            Some(kept::End::Refused(refusal)) => (outcome_of(&refusal), refusal.reason),
-            Some(kept::End::Abandoned) | None => {
+            Some(buffer::End::Whole) => (decide::Outcome::Whole, "whole".to_owned()),
+            Some(buffer::End::Refused(refusal)) => (outcome_of(&refusal), refusal.reason),
+            Some(buffer::End::Abandoned) | None => {
                 (decide::Outcome::Cancelled, "abandoned".to_owned())
             }
         };
-        self.finished(outcome);
-        self.note("finished", || reason.clone());
+        self.report_finished(outcome);
+        self.record_event("finished", || reason.clone());
         self.context.metrics.finished.add(1, &[KeyValue::new("reason", reason)]);
-        self.context.table.ended(&entry);
+        self.context.table.complete(&entry);
     }
 
     fn report(&self, note: schedule::Note) {
@@ -322,12 +323,12 @@
         }
     }
 
-    fn note(&self, kind: &str, detail: impl FnOnce() -> String) {
+    fn record_event(&self, kind: &str, detail: impl FnOnce() -> String) {
         self.context.timeline.record(Some(&self.job.entry.key), kind, detail());
     }
 }
 
-async fn linger(until: Option<time::Instant>) {
+async fn sleep_until(until: Option<time::Instant>) {
     match until {
         Some(until) => tokio::time::sleep_until(until.into()).await,
         None => std::future::pending().await,
@@ -341,7 +342,7 @@
     }
 }
 
-fn describe(record: &request::Record) -> String {
+fn describe_record(record: &request::Record) -> String {
     match record {
         request::Record::Intent(intent) => format!("intent for {}", intent.endpoint),
         request::Record::Closed { .. } => "closed".to_owned(),
--- a/crates/daemon/src/coordinate/entry.rs
+++ b/crates/daemon/src/coordinate/entry.rs
@@ -1,4 +1,4 @@
-//! One request at this daemon, shared by its driver and its readers.
+//! The state of one request that its driver and its readers share.
 
 use std::sync;
 use std::sync::atomic;
@@ -7,70 +7,70 @@
 use trefoildyke_decide::coordinate;
 use trefoildyke_types::{id, request};
 
-use crate::coordinate::kept;
+use crate::coordinate::buffer;
 
-/// One request at this daemon.
+/// A request at this daemon with its answer, shared by its driver and its readers.
 pub(super) struct Entry {
     pub(super) key: id::RequestKey,
     pub(super) fingerprint: u64,
-    kept: sync::Mutex<kept::Kept>,
-    /// Rises with each change of `kept`.
+    buffer: sync::Mutex<buffer::AnswerBuffer>,
+    /// A counter that rises with each change of `buffer`.
     changes: watch::Sender<u64>,
-    /// What the driver is told from outside.
+    /// Inputs to the driver from readers and from a graceful stop.
     signals: mpsc::UnboundedSender<coordinate::Input>,
     readers: atomic::AtomicUsize,
 }
 
 impl Entry {
-    /// Creates the entry and the driver's end of its signals.
+    /// Creates an entry and the receiver of its signals for the driver.
     pub(super) fn new(
         key: id::RequestKey,
         fingerprint: u64,
     ) -> (sync::Arc<Self>, mpsc::UnboundedReceiver<coordinate::Input>) {
-        let (signals, received) = mpsc::unbounded_channel();
+        let (signals, receiver) = mpsc::unbounded_channel();
         let entry = Self {
             key,
             fingerprint,
-            kept: sync::Mutex::default(),
+            buffer: sync::Mutex::default(),
             changes: watch::Sender::new(0),
             signals,
             readers: atomic::AtomicUsize::new(0),
         };
-        (sync::Arc::new(entry), received)
+        (sync::Arc::new(entry), receiver)
     }
 
-    /// Tells the driver; one that has ended needs no telling.
+    /// Sends an input to the driver; does nothing if the driver has ended.
     pub(super) fn signal(&self, input: coordinate::Input) {
         let _ = self.signals.send(input);
     }
 
     pub(super) fn push(&self, chunk: request::Chunk) {
         self.lock().push(chunk);
-        self.changed();
+        self.notify();
     }
 
-    /// Takes note of a caller that joins; returns whether it can.
+    /// Registers a caller that joins; returns whether the answer can be given to it.
     pub(super) fn join(&self, is_second: bool) -> bool {
         self.lock().join(is_second)
     }
 
-    /// Returns whether a caller has joined that had sent the request to other daemons too.
+    /// Returns whether a caller has joined that may have sent the request to other daemons too.
     pub(super) fn is_second(&self) -> bool {
         self.lock().is_second()
     }
 
-    /// Ends the answer with a refusal that was decided for a request of which `knew_second`.
-    pub(super) fn refuse(&self, refusal: request::Refusal, knew_second: bool) {
-        self.lock().refuse(refusal, knew_second);
-        self.changed();
+    /// Ends the answer with a refusal; `was_second` is the request's `is_second` when it was decided.
+    pub(super) fn refuse(&self, refusal: request::Refusal, was_second: bool) {
+        self.lock().refuse(refusal, was_second);
+        self.notify();
     }
 
-    pub(super) fn finish(&self, end: kept::End) {
+    pub(super) fn finish(&self, end: buffer::End) {
         self.lock().finish(end);
-        self.changed();
+        self.notify();
     }
 
-    pub(super) fn end(&self) -> Option<kept::End> {
+    pub(super) fn end(&self) -> Option<buffer::End> {
         self.lock().end().cloned()
     }
 
@@ -82,22 +82,22 @@
         self.lock().bytes()
     }
 
-    /// Returns what comes at `offset`, waiting while there is nothing.
-    pub(super) async fn next(&self, offset: u64) -> kept::Piece {
+    /// Reads from `offset` on, in tokens; waits until there is something to read.
+    pub(super) async fn next(&self, offset: u64) -> buffer::ReadResult {
         let mut changes = self.changes.subscribe();
         loop {
             changes.borrow_and_update();
-            let piece = self.lock().piece(self.key.id, offset);
-            if !matches!(piece, kept::Piece::Nothing) {
-                return piece;
+            let result = self.lock().read(self.key.id, offset);
+            if !matches!(result, buffer::ReadResult::Pending) {
+                return result;
             }
             if changes.changed().await.is_err() {
-                return kept::Piece::Abandoned;
+                return buffer::ReadResult::Abandoned;
             }
         }
     }
 
-    pub(super) fn reader_came(&self) {
+    pub(super) fn add_reader(&self) {
         self.readers.fetch_add(1, atomic::Ordering::AcqRel);
     }
 
@@ -105,18 +105,18 @@
         self.readers.load(atomic::Ordering::Acquire) > 0
     }
 
-    /// Notes that a reader has gone; the driver learns when it was the last.
-    pub(super) fn reader_went(&self) {
+    /// Unregisters a reader; signals the driver if it was the last one.
+    pub(super) fn remove_reader(&self) {
         if self.readers.fetch_sub(1, atomic::Ordering::AcqRel) == 1 {
             self.signal(coordinate::Input::CallerGone);
         }
     }
 
-    fn changed(&self) {
-        self.changes.send_modify(|change| *change += 1);
+    fn notify(&self) {
+        self.changes.send_modify(|count| *count += 1);
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, kept::Kept> {
-        self.kept.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    fn lock(&self) -> sync::MutexGuard<'_, buffer::AnswerBuffer> {
+        self.buffer.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/coordinate/handle.rs
+++ b/crates/daemon/src/coordinate/handle.rs
@@ -1,4 +1,4 @@
-//! What the other services use, and what the requests share.
+//! The coordinator's handle for other services, and the context that all requests share.
 
 use std::{convert, sync, time};
 
@@ -13,38 +13,38 @@
     settings, timeline,
 };
 
-/// How often answers that were kept long enough are looked for.
-const SWEEP: time::Duration = time::Duration::from_secs(1);
+/// How often finished answers that have exceeded their bounds are removed.
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Holds what the coordinator builds on.
+/// The dependencies of the coordinator.
 pub struct Sources {
     /// Limits and bounds.
     pub settings: settings::Coordinate,
-    /// The clock of the decisions.
+    /// The clock that decisions use.
     pub clock: clock::Clock,
-    /// How other coordinators are reached.
+    /// The calls to other coordinators.
     pub links: service::Links,
     /// The configuration.
     pub config: config::Handle,
-    /// The platform's list.
+    /// The platform's host list.
     pub hosts: hosts::Handle,
-    /// The records.
+    /// The records of requests.
     pub intents: intents::Handle,
     /// The schedulers.
     pub schedule: schedule::Handle,
-    /// Whether this daemon is cut off.
+    /// Whether this daemon is isolated.
     pub isolation: service::Isolation,
-    /// Closed by a graceful stop.
+    /// Admits requests until a graceful stop closes it.
     pub gate: kernel::Gate,
-    /// The traffic threads.
+    /// Spawns tasks on the traffic threads.
     pub scope: kernel::Scope,
-    /// The time line.
+    /// The timeline.
     pub timeline: timeline::Handle,
-    /// Measurements.
+    /// The metrics.
     pub metrics: metrics::Handle,
 }
 
-/// What all requests of this daemon share.
+/// The context that all requests of this daemon share.
 pub(super) struct Context {
     pub(super) settings: settings::Coordinate,
     pub(super) clock: clock::Clock,
@@ -60,10 +60,10 @@
     pub(super) metrics: metrics::Handle,
     pub(super) table: service::table::Table,
     pub(super) clients: service::clients::Clients,
-    pub(super) busy: service::busy::Busy,
+    pub(super) in_flight: service::in_flight::InFlight,
 }
 
-/// Takes requests and returns to answers; published as `coordinate`.
+/// A handle to submit requests and resume answers; published as `coordinate`. Clones share the coordinator.
 #[derive(Clone)]
 pub struct Handle {
     pub(super) context: sync::Arc<Context>,
@@ -75,7 +75,7 @@
         let context = Context {
             table: service::table::Table::new(sources.settings),
             clients: service::clients::Clients::default(),
-            busy: service::busy::Busy::default(),
+            in_flight: service::in_flight::InFlight::default(),
             settings: sources.settings,
             clock: sources.clock,
             links: sources.links,
@@ -92,26 +92,26 @@
         Self { context: sync::Arc::new(context) }
     }
 
-    /// Returns the ways in for the callers' face.
+    /// Returns the calls that the HTTP API for callers makes to this coordinator.
     pub fn ways_in(&self) -> callers::Coordinator {
-        let here = self.clone();
-        let there = self.clone();
+        let submit_handle = self.clone();
+        let resume_handle = self.clone();
         callers::Coordinator {
             submit: sync::Arc::new(move |submission| {
-                futures::future::ready(here.submit(submission)).boxed()
+                futures::future::ready(submit_handle.submit(submission)).boxed()
             }),
             resume: sync::Arc::new(move |key, offset| {
-                let there = there.clone();
-                async move { there.resume(key, offset).await }.boxed()
+                let resume_handle = resume_handle.clone();
+                async move { resume_handle.resume(key, offset).await }.boxed()
             }),
         }
     }
 
-    /// Serves the calls of peers that concern answers.
+    /// Registers the method through which peers read answers.
     pub fn serve_peers(&self, methods: &mut peer::Methods) {
-        let here = self.clone();
+        let handle = self.clone();
         methods.read = peer::Methods::method(move |_, request: peer::ReadRequest| {
-            let entry = here.context.table.get(&request.key);
+            let entry = handle.context.table.get(&request.key);
             async move {
                 match entry {
                     Some(entry) => Ok(service::reader::read(entry, &request).await),
@@ -123,10 +123,10 @@
 
     /// Returns whether a request of this daemon is in progress at the endpoint.
     pub fn is_busy(&self, endpoint: &id::EndpointName) -> bool {
-        self.context.busy.is_busy(endpoint)
+        self.context.in_flight.is_busy(endpoint)
     }
 
-    /// Takes no new requests, refuses those that wait and lets the others finish.
+    /// Stops accepting requests, refuses those that are not dispatched yet and lets the others finish.
     pub fn stop(&self) {
         self.context.gate.close();
         for entry in self.context.table.running() {
@@ -134,25 +134,25 @@
         }
     }
 
-    /// Forgets answers that were kept long enough; runs for good.
+    /// Removes finished answers that have exceeded their bounds, periodically; never returns.
     pub async fn sweep(self) -> Result<(), convert::Infallible> {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             self.context.table.sweep();
         }
     }
 }
 
 impl Context {
-    /// Returns what the configuration says of an endpoint.
+    /// Returns the configuration of an endpoint.
     pub(super) fn endpoint(&self, name: &id::EndpointName) -> Option<resource::EndpointSpec> {
         self.config.snapshot().endpoint(name).cloned()
     }
 
-    /// Returns whether an endpoint takes new work, as this daemon knows.
+    /// Returns whether an endpoint accepts new work, as far as this daemon knows.
     ///
-    /// A daemon that is cut off cannot know, and uses none.
-    pub(super) fn takes_work(&self, name: &id::EndpointName) -> bool {
+    /// An isolated daemon cannot know this and uses no endpoint.
+    pub(super) fn accepts_work(&self, name: &id::EndpointName) -> bool {
         if self.isolation.is_isolated() {
             return false;
         }
@@ -167,7 +167,9 @@
         })
     }
 
-    /// Returns the pool shard that a request goes to: prompts that begin alike go to the same.
+    /// Returns the pool shard that schedules a request.
+    ///
+    /// Prompts with the same first block go to the same shard, prompts without blocks to a random one.
     pub(super) fn shard(&self, submission: &callers::Submission) -> endpoints::Shard {
         let pool = submission.spec.pool.clone();
         let snapshot = self.config.snapshot();
--- a/crates/daemon/src/coordinate/busy.rs
+++ b/crates/daemon/src/coordinate/in_flight.rs
@@ -1,4 +1,4 @@
-//! Which endpoints have requests of this daemon in progress.
+//! Counts of this daemon's requests in progress at each endpoint.
 
 use std::{collections, sync};
 
@@ -6,20 +6,20 @@
 
 type Counts = sync::Arc<sync::Mutex<collections::HashMap<id::EndpointName, usize>>>;
 
-/// Counts the requests in progress at each endpoint.
+/// Counts of this daemon's requests in progress at each endpoint. Clones share the counts.
 #[derive(Clone, Default)]
-pub(super) struct Busy(Counts);
+pub(super) struct InFlight(Counts);
 
-/// Counts as one request in progress until dropped.
-pub(super) struct Mark {
+/// A guard that counts as one request in progress until it is dropped.
+pub(super) struct Guard {
     counts: Counts,
     endpoint: id::EndpointName,
 }
 
-impl Busy {
-    pub(super) fn mark(&self, endpoint: &id::EndpointName) -> Mark {
+impl InFlight {
+    pub(super) fn track(&self, endpoint: &id::EndpointName) -> Guard {
         *lock(&self.0).entry(endpoint.clone()).or_default() += 1;
-        Mark { counts: sync::Arc::clone(&self.0), endpoint: endpoint.clone() }
+        Guard { counts: sync::Arc::clone(&self.0), endpoint: endpoint.clone() }
     }
 
     pub(super) fn is_busy(&self, endpoint: &id::EndpointName) -> bool {
@@ -27,7 +27,7 @@
     }
 }
 
-impl Drop for Mark {
+impl Drop for Guard {
     fn drop(&mut self) {
         let mut counts = lock(&self.counts);
         if let Some(count) = counts.get_mut(&self.endpoint) {
--- a/crates/daemon/src/coordinate/isolation.rs
+++ b/crates/daemon/src/coordinate/isolation.rs
@@ -1,4 +1,5 @@
-//! Whether this daemon reaches anyone who could tell it what is in force.
+//! Detection of isolation: a daemon that reaches neither a peer nor the key-value service cannot learn which
+//! configuration is in force.
 
 use std::{sync, time};
 
@@ -7,25 +8,25 @@
 use trefoildyke_types::id;
 use trefoildyke_wire::platform;
 
-/// Read to see whether the service answers; it need not exist.
+/// The key read to check whether the key-value service answers; it need not exist.
 const PROBE_KEY: &str = "probe";
 
-/// Says whether this daemon is cut off. Clones share the state.
+/// Whether this daemon is isolated. Clones share the state.
 #[derive(Clone, Debug)]
 pub struct Isolation(sync::Arc<watch::Sender<bool>>);
 
 impl Isolation {
-    /// Returns whether neither the key-value service nor any peer was reached for the bound.
+    /// Returns whether, for [`Watch::bound`], no peer was alive and the key-value service did not answer.
     pub fn is_isolated(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// Returns what is told of each later change.
+    /// Returns a receiver that is notified of each later change.
     pub(super) fn changes(&self) -> watch::Receiver<bool> {
         self.0.subscribe()
     }
 
-    /// Takes in whether this daemon is cut off; says whether that is new.
+    /// Sets whether this daemon is isolated; returns whether the state changed.
     fn set(&self, is_isolated: bool) -> bool {
         self.0.send_if_modified(|current| std::mem::replace(current, is_isolated) != is_isolated)
     }
@@ -37,39 +38,39 @@
     }
 }
 
-/// Watches whether this daemon is cut off; run it on the control thread.
+/// Detects whether this daemon is isolated. It must run on the control thread.
 pub struct Watch {
-    /// The state that is kept up to date.
+    /// The state to update.
     pub isolation: Isolation,
-    /// This daemon.
+    /// The incarnation of this daemon.
     pub own: id::Incarnation,
-    /// The members as this daemon sees them.
+    /// This daemon's view of the members.
     pub view: watch::Receiver<sync::Arc<members::View>>,
-    /// The key-value service.
+    /// The client of the key-value service.
     pub kv: platform::KvClient,
-    /// For how long nobody may be reached.
+    /// After how long without a peer and without an answer of the key-value service this daemon is isolated.
     pub bound: time::Duration,
 }
 
 impl Watch {
-    /// Runs for good; cancel it by dropping the future.
+    /// Checks periodically whether this daemon is isolated. Never returns; drop the future to cancel it.
     ///
-    /// The service is asked only while there is no peer, so a large group does not load it.
+    /// The key-value service is read only while no peer is alive, so that a large group puts no load on it.
     pub async fn run(self) {
-        let mut reached = tokio::time::Instant::now();
+        let mut last_reached = tokio::time::Instant::now();
         let period = self.bound / 4;
         loop {
-            let asked = tokio::time::Instant::now();
+            let checked_at = tokio::time::Instant::now();
             let is_reached = self.has_peer()
                 || tokio::time::timeout(period, self.kv.get(PROBE_KEY))
                     .await
                     .is_ok_and(|answer| answer.is_ok());
             if is_reached {
-                reached = asked;
+                last_reached = checked_at;
             }
-            let is_isolated = reached.elapsed() >= self.bound;
+            let is_isolated = last_reached.elapsed() >= self.bound;
             if self.isolation.set(is_isolated) {
-                log::warn!(target: "coordinate", "cut off from everyone: {is_isolated}");
+                log::warn!(target: "coordinate", "daemon is isolated: {is_isolated}");
             }
             tokio::time::sleep(period).await;
         }
--- a/crates/daemon/src/coordinate/job.rs
+++ b/crates/daemon/src/coordinate/job.rs
@@ -1,4 +1,4 @@
-//! What a driver has to do for one request.
+//! The initial state of a driver.
 
 use std::sync;
 
@@ -7,20 +7,20 @@
 
 use crate::{callers, coordinate::entry};
 
-/// What a request starts with at its driver.
+/// A request as it is handed to its driver.
 pub(super) struct Job {
     pub(super) entry: sync::Arc<entry::Entry>,
     pub(super) state: coordinate::RequestState,
-    /// What to do first.
+    /// The actions to carry out first.
     pub(super) actions: Vec<coordinate::Action>,
-    /// What the caller sent; `None` for a caller that comes back for an answer only.
+    /// The caller's request; `None` if the caller only resumes an answer.
     pub(super) submission: Option<sync::Arc<callers::Submission>>,
     pub(super) accepted: Timestamp,
     pub(super) deadline: Timestamp,
 }
 
 impl Job {
-    /// Returns the ask for the scheduler.
+    /// Returns the ask for the scheduler, with `left_ms` 0; `None` if the caller only resumes an answer.
     pub(super) fn ask(&self, own: trefoildyke_types::id::Incarnation) -> Option<request::Ask> {
         let submission = self.submission.as_ref()?;
         Some(request::Ask {
--- a/crates/daemon/src/coordinate/links.rs
+++ b/crates/daemon/src/coordinate/links.rs
@@ -1,4 +1,4 @@
-//! How other coordinators are reached.
+//! Calls to the coordinators of other daemons.
 
 use std::{sync, time};
 
@@ -6,7 +6,7 @@
 use trefoildyke_types::{error, id};
 use trefoildyke_wire::peer;
 
-/// Calls [`peer::Peer::read`] at a member, with a deadline.
+/// Calls [`peer::Peer::read`] at a member, with a timeout.
 pub type ReadCall = sync::Arc<
     dyn Fn(
             id::Incarnation,
@@ -17,11 +17,11 @@
         + Sync,
 >;
 
-/// Says how other coordinators are reached.
+/// The calls to other coordinators.
 #[derive(Clone)]
 pub struct Links {
-    /// This daemon.
+    /// The incarnation of this daemon.
     pub own: id::Incarnation,
-    /// Reads an answer from its coordinator.
+    /// Reads part of an answer from its coordinator.
     pub read: ReadCall,
 }
--- a/crates/daemon/src/coordinate/mod.rs
+++ b/crates/daemon/src/coordinate/mod.rs
@@ -1,17 +1,17 @@
-//! The coordinator: takes requests, dispatches each at most once and keeps the answers readable.
+//! The coordinator: accepts requests, dispatches each at most once and keeps the answers readable.
 //!
-//! Every decision is made by `trefoildyke_decide::coordinate`; this module carries the actions out.
-//! A request runs in a task of its own, which no caller's connection can end.
+//! `trefoildyke_decide::coordinate` makes every decision; this module carries out the resulting actions.
+//! Each request runs in its own task, which does not end when a caller disconnects.
 
-mod busy;
+mod buffer;
 mod clients;
 mod conditions;
 mod driver;
 mod entry;
 mod handle;
+mod in_flight;
 mod isolation;
 mod job;
-mod kept;
 mod links;
 mod operations;
 mod reader;
--- a/crates/daemon/src/coordinate/operations.rs
+++ b/crates/daemon/src/coordinate/operations.rs
@@ -1,4 +1,4 @@
-//! What a driver waits for: each operation is a stream of inputs for the request's state.
+//! The operations that a driver waits for: each is a stream of inputs for the request's state.
 
 use std::{sync, time};
 
@@ -13,12 +13,12 @@
     endpoints,
 };
 
-/// How long one call waits for a chunk at a coordinator.
+/// How long the followed coordinator waits for a chunk before it answers a read.
 const READ_WAIT: time::Duration = time::Duration::from_millis(1_000);
-/// How much longer the call itself may take.
+/// How much longer than [`READ_WAIT`] the call may take.
 const READ_MARGIN: time::Duration = time::Duration::from_millis(2_000);
 
-/// Inputs in order; it ends with the operation.
+/// A stream of inputs, which ends when the operation ends.
 pub(super) type Operation = stream::BoxStream<'static, Input>;
 
 type Context = sync::Arc<handle::Context>;
@@ -27,12 +27,12 @@
     stream::once(input).boxed()
 }
 
-/// Waits for nothing.
+/// Returns an operation without inputs that never ends.
 pub(super) fn none() -> Operation {
     stream::pending().boxed()
 }
 
-/// Asks the scheduler for a permit, after a pause.
+/// Asks the scheduler for a permit, after a delay of `pause`.
 pub(super) fn ask(
     context: Context,
     shard: endpoints::Shard,
@@ -49,22 +49,22 @@
     })
 }
 
-/// Writes a record.
+/// Writes a record of the request.
 pub(super) fn record(context: Context, key: id::RequestKey, record: request::Record) -> Operation {
     once(async move {
-        let begun = time::Instant::now();
+        let started_at = time::Instant::now();
         let outcome = context.intents.record(&key, &record).await;
-        context.metrics.record.record(begun.elapsed().as_secs_f64() * 1_000.0, &[]);
+        context.metrics.record_time.record(started_at.elapsed().as_secs_f64() * 1_000.0, &[]);
         Input::Recorded(outcome)
     })
 }
 
-/// Reads the record.
+/// Reads the record of the request.
 pub(super) fn look_up(context: Context, key: id::RequestKey) -> Operation {
     once(async move { Input::LookedUp(context.intents.look_up(&key).await) })
 }
 
-/// Sends the request to an endpoint, once, and follows the answer.
+/// Sends the request to an endpoint once and reads the answer; `left` is the time left until the deadline.
 pub(super) fn dispatch(
     context: &handle::Context,
     spec: &resource::EndpointSpec,
@@ -82,16 +82,19 @@
                 max_tokens: submission.spec.max_tokens,
                 input: submission.spec.input.clone(),
             };
-            generate_at(context.clients.engine(spec.address), generate)
+            start_generation(context.clients.engine(spec.address), generate)
         }
         request::Target::Service(operation) => {
             let client = endpoint::ServiceClient::new(spec.address, endpoint::Limits::default());
-            call(client, key, operation.clone(), submission.spec.input.clone(), left)
+            call_service(client, key, operation.clone(), submission.spec.input.clone(), left)
         }
     }
 }
 
-fn generate_at(client: endpoint::EngineClient, generate: endpoint::message::Generate) -> Operation {
+fn start_generation(
+    client: endpoint::EngineClient,
+    generate: endpoint::message::Generate,
+) -> Operation {
     let started = async move {
         match client.start(&generate).await {
             Ok(answer) => chunks(answer),
@@ -101,7 +104,7 @@
     stream::once(started).flatten().boxed()
 }
 
-fn call(
+fn call_service(
     client: endpoint::ServiceClient,
     key: id::RequestKey,
     operation: String,
@@ -136,7 +139,7 @@
     }
 }
 
-/// Follows the stream at an engine from token `offset` on.
+/// Resumes the stream at an engine from token `offset` on.
 pub(super) fn resume(
     context: &handle::Context,
     spec: &resource::EndpointSpec,
@@ -146,7 +149,7 @@
     chunks(context.clients.engine(spec.address).resume(key, offset))
 }
 
-/// The stream resumes by itself; what it reports as an error is final.
+/// Returns the chunks of an answer. The stream resumes by itself after faults, so an error from it is final.
 fn chunks(answer: endpoint::AnswerStream) -> Operation {
     stream::unfold(Some(answer), |answer| async move {
         let mut answer = answer?;
@@ -172,7 +175,7 @@
         let context = sync::Arc::clone(&context);
         async move {
             let request = request?;
-            let (inputs, next) = read(&context, coordinator, request).await;
+            let (inputs, next) = read_once(&context, coordinator, request).await;
             Some((stream::iter(inputs), next))
         }
     })
@@ -180,8 +183,8 @@
     .boxed()
 }
 
-/// Reads once; returns what came and the next call, if there is to be one.
-async fn read(
+/// Makes one read call; returns the resulting inputs and the next call, if the answer has not ended.
+async fn read_once(
     context: &handle::Context,
     coordinator: id::Incarnation,
     mut request: peer::ReadRequest,
--- a/crates/daemon/src/coordinate/resume.rs
+++ b/crates/daemon/src/coordinate/resume.rs
@@ -1,4 +1,4 @@
-//! Coming back for an answer without sending the request again.
+//! Resuming an answer without sending the request again.
 
 use std::{sync, time};
 
@@ -10,15 +10,15 @@
     coordinate::{entry, handle, job},
 };
 
-/// How long a caller that came back can follow an answer.
-const FOLLOW: time::Duration = time::Duration::from_secs(3_600);
+/// The deadline of a request that is only resumed: one hour (3,600 s) after the call.
+const RESUME_DEADLINE: time::Duration = time::Duration::from_secs(3_600);
 
 impl handle::Handle {
-    /// Returns to the answer of a request from an output offset; nothing is ever dispatched.
+    /// Returns the answer of an earlier request from an output offset on, in tokens; never dispatches.
     ///
     /// # Errors
     ///
-    /// The refusal, if no answer can be found.
+    /// Returns a refusal if the answer cannot be found or this daemon is stopping.
     pub async fn resume(
         &self,
         key: id::RequestKey,
@@ -44,7 +44,9 @@
         Ok(self.read_from(entry, offset))
     }
 
-    /// Without a record, only the daemon that issued the identifier can know the request.
+    /// Refuses an identifier without a record unless another daemon issued it.
+    ///
+    /// Without a record, only the issuer can know the request.
     fn check_issuer(&self, key: &id::RequestKey) -> Result<(), request::Refusal> {
         if key.id.issuer().is_some_and(|issuer| issuer != self.context.links.own) {
             return Ok(());
@@ -83,12 +85,13 @@
         let is_recorded = matches!(found, coordinate::LookUp::Found(_));
         let (mut state, _) =
             coordinate::RequestState::start(opening, coordinate::Admission::LookUp);
-        // What is not recorded counts as not to be found out, so that it is never dispatched.
+        // An absent record is reported as unavailable, because the state would otherwise ask for a permit
+        // to dispatch the request.
         let found = if is_recorded { found } else { coordinate::LookUp::Unavailable };
         let actions = state.step(self.context.clock.now(), coordinate::Input::LookedUp(found));
         let (entry, signals) = entry::Entry::new(key, fingerprint);
         let accepted = self.context.clock.mono();
-        let deadline = accepted + FOLLOW;
+        let deadline = accepted + RESUME_DEADLINE;
         let shared = sync::Arc::clone(&entry);
         let submission = None;
         self.start(
--- a/crates/daemon/src/coordinate/submit.rs
+++ b/crates/daemon/src/coordinate/submit.rs
@@ -1,4 +1,4 @@
-//! Taking a caller's request.
+//! Admission of a caller's request.
 
 use std::sync;
 
@@ -13,26 +13,27 @@
     coordinate::{driver, entry, handle, job, reader},
 };
 
-/// The part of the places that each rank leaves to the ranks above it, in percent.
-const RESERVED: usize = 5;
-/// The most that is left to higher ranks, in percent.
-const MOST_RESERVED: usize = 50;
-const BUSY_MS: u64 = 200;
+/// The share of the capacity that a request leaves free for each rank more urgent than its own, in percent.
+const RESERVED_PER_RANK: usize = 5;
+/// The maximum share of the capacity that a request leaves free for more urgent ranks, in percent.
+const MAX_RESERVED: usize = 50;
+/// The retry delay in refusals because of too many requests, in milliseconds.
+const BUSY_RETRY_MS: u64 = 200;
 
 type Signals = mpsc::UnboundedReceiver<coordinate::Input>;
 
 impl handle::Handle {
-    /// Takes a request, or refuses it before it is accepted.
+    /// Accepts a request and returns its answer; a request with a known key joins the existing one.
     ///
     /// # Errors
     ///
-    /// The refusal.
+    /// Returns a refusal if the request is not accepted.
     pub fn submit(
         &self,
         submission: callers::Submission,
     ) -> Result<callers::Answer, request::Refusal> {
         let offset = submission.spec.offset;
-        let entry = self.take(submission)?;
+        let entry = self.admit(submission)?;
         Ok(self.read_from(entry, offset))
     }
 
@@ -42,13 +43,13 @@
         answer
     }
 
-    fn take(
+    fn admit(
         &self,
         submission: callers::Submission,
     ) -> Result<sync::Arc<entry::Entry>, request::Refusal> {
         let arrival = coordinate::Arrival::new(&submission.spec);
         let pass = self.context.gate.enter();
-        // Deciding and inserting is one step, so that of two equal requests one joins the other.
+        // The lock covers decision and insertion, so that of two equal requests one joins the other.
         let mut entries = self.context.table.lock();
         let key = arrival.id.map(|id| id::RequestKey { account: submission.account.clone(), id });
         let local = key.as_ref().and_then(|key| entries.get(key)).cloned();
@@ -59,9 +60,9 @@
         if let (coordinate::Admission::Attach, Some(local)) = (admission, local) {
             return Ok(local);
         }
-        self.check_room(&arrival, submission.rank)?;
+        self.check_capacity(&arrival, submission.rank)?;
         let pass = pass.ok_or_else(|| coordinate::Reason::Stopping.unknown())?;
-        let (job, signals) = self.open(submission, &arrival, admission);
+        let (job, signals) = self.create_job(submission, &arrival, admission);
         let entry = sync::Arc::clone(&job.entry);
         entries.insert(sync::Arc::clone(&entry));
         drop(entries);
@@ -69,11 +70,17 @@
         Ok(entry)
     }
 
-    /// Refuses more requests than fit; lower ranks leave some places to higher ones.
-    fn check_room(&self, arrival: &coordinate::Arrival, rank: u8) -> Result<(), request::Refusal> {
-        let reserved = (usize::from(rank) * RESERVED).min(MOST_RESERVED);
-        let places = self.context.settings.requests * (100 - reserved) / 100;
-        if self.context.gate.in_progress() <= places.max(1) {
+    /// Refuses the request if the capacity that is open to its rank is exceeded.
+    ///
+    /// The request itself is already counted as in progress.
+    fn check_capacity(
+        &self,
+        arrival: &coordinate::Arrival,
+        rank: u8,
+    ) -> Result<(), request::Refusal> {
+        let reserved = (usize::from(rank) * RESERVED_PER_RANK).min(MAX_RESERVED);
+        let capacity = self.context.settings.requests * (100 - reserved) / 100;
+        if self.context.gate.in_progress() <= capacity.max(1) {
             return Ok(());
         }
         let kind = match arrival.may_be_second() {
@@ -81,10 +88,10 @@
             false => request::RefusalKind::NotRun,
         };
         let remedy = "this daemon has as many requests as it can hold: send it to another host";
-        Err(request::Refusal::new(kind, "busy", remedy).retry_after(BUSY_MS))
+        Err(request::Refusal::new(kind, "busy", remedy).retry_after(BUSY_RETRY_MS))
     }
 
-    fn open(
+    fn create_job(
         &self,
         submission: callers::Submission,
         arrival: &coordinate::Arrival,
@@ -122,13 +129,13 @@
             nonce: id::Nonce(rand::random()),
             second: arrival.may_be_second(),
             resumable,
-            // The whole answer is kept here; each reader begins where it wants.
+            // The whole answer is buffered here; each reader starts at its own offset.
             offset: 0,
             retention_ms: self.context.retention_ms(),
         }
     }
 
-    /// Starts the driver of a request; `pass` keeps a graceful stop waiting for it.
+    /// Starts the driver of a request; a graceful stop waits until its `pass` is dropped.
     pub(super) fn start(&self, job: job::Job, signals: Signals, pass: kernel::Pass) {
         let context = sync::Arc::clone(&self.context);
         let rank = job.submission.as_ref().map_or(0, |submission| submission.rank);
@@ -139,10 +146,10 @@
         let active = context.metrics.active.clone();
         let run = driver::Driver::new(context, job).run(signals);
         self.context.scope.spawn_isolated("request", async move {
-            let end = run.await;
+            let result = run.await;
             active.add(-1, &[]);
             drop(pass);
-            end
+            result
         });
     }
 }
--- a/crates/daemon/src/coordinate/table.rs
+++ b/crates/daemon/src/coordinate/table.rs
@@ -1,4 +1,4 @@
-//! Every request at this daemon by its key.
+//! The requests at this daemon by key.
 
 use std::{collections, sync};
 
@@ -6,28 +6,28 @@
 use trefoildyke_types::id;
 
 use crate::{
-    coordinate::{entry, kept},
+    coordinate::{buffer, entry},
     settings,
 };
 
-/// A finished answer that is kept.
+/// A finished answer that is still readable.
 struct Finished {
     key: id::RequestKey,
     entry: sync::Weak<entry::Entry>,
-    since: time::Instant,
+    finished_at: time::Instant,
     bytes: usize,
 }
 
 #[derive(Default)]
 pub(super) struct Entries {
     by_key: collections::HashMap<id::RequestKey, sync::Arc<entry::Entry>>,
-    /// Finished answers, the oldest first.
+    /// Finished answers that are kept, the oldest first.
     finished: collections::VecDeque<Finished>,
-    /// The sum over `finished`.
+    /// The sum of `bytes` over `finished`.
     bytes: usize,
 }
 
-/// Holds every request in progress and, for a bounded time and size, whole answers.
+/// All requests in progress and, within bounds on time and memory, finished answers.
 pub(super) struct Table {
     settings: settings::Coordinate,
     entries: sync::Mutex<Entries>,
@@ -42,24 +42,24 @@
         self.lock().by_key.get(key).cloned()
     }
 
-    /// Locks the table, so that a decision and the insertion that follows from it are one step.
+    /// Locks the table, so that a decision and the insertion that follows it are atomic.
     pub(super) fn lock(&self) -> sync::MutexGuard<'_, Entries> {
         self.entries.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Takes a request that has ended out, or keeps its answer for callers that come back.
+    /// Removes a request that has ended, or keeps its answer for callers that resume it.
     ///
-    /// Only what stays true is kept: a whole answer, and a failure that the endpoint reported.
-    pub(super) fn ended(&self, entry: &sync::Arc<entry::Entry>) {
+    /// Only results that stay true are kept: a complete answer, and a failure that the endpoint reported.
+    pub(super) fn complete(&self, entry: &sync::Arc<entry::Entry>) {
         let mut entries = self.lock();
-        let kept = match entry.end() {
-            Some(kept::End::Whole) => true,
-            Some(kept::End::Refused(refusal)) => {
+        let is_kept = match entry.end() {
+            Some(buffer::End::Whole) => true,
+            Some(buffer::End::Refused(refusal)) => {
                 refusal.kind == trefoildyke_types::request::RefusalKind::Failed
             }
-            Some(kept::End::Abandoned) | None => false,
+            Some(buffer::End::Abandoned) | None => false,
         };
-        if kept {
+        if is_kept {
             entries.keep(entry);
         } else {
             entries.remove(&entry.key, entry);
@@ -67,7 +67,7 @@
         entries.evict(&self.settings);
     }
 
-    /// Forgets answers that were kept long enough.
+    /// Removes answers that have exceeded the bounds on time or memory.
     pub(super) fn sweep(&self) {
         self.lock().evict(&self.settings);
     }
@@ -94,15 +94,15 @@
         self.finished.push_back(Finished {
             key: entry.key.clone(),
             entry: sync::Arc::downgrade(entry),
-            since: time::Instant::now(),
+            finished_at: time::Instant::now(),
             bytes,
         });
     }
 
     fn evict(&mut self, settings: &settings::Coordinate) {
         while let Some(oldest) = self.finished.front() {
-            let is_old = oldest.since.elapsed() >= settings.keep();
-            if !is_old && self.bytes <= settings.keep_bytes {
+            let is_expired = oldest.finished_at.elapsed() >= settings.keep();
+            if !is_expired && self.bytes <= settings.keep_bytes {
                 return;
             }
             self.bytes -= oldest.bytes;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Removes the entry, unless another one has taken its place.
+    /// Removes the entry, unless the key already belongs to another entry.
     fn remove(&mut self, key: &id::RequestKey, entry: &sync::Arc<entry::Entry>) {
         if self.by_key.get(key).is_some_and(|other| sync::Arc::ptr_eq(other, entry)) {
             self.by_key.remove(key);
--- a/crates/daemon/src/metrics/instruments.rs
+++ b/crates/daemon/src/metrics/instruments.rs
@@ -12,11 +12,11 @@
     /// Requests in progress.
     pub active: metrics::UpDownCounter<i64>,
     /// The time from acceptance of a request to its first token, in milliseconds.
-    pub first_token: metrics::Histogram<f64>,
+    pub first_token_time: metrics::Histogram<f64>,
     /// The time that writing a record of a request takes, in milliseconds.
-    pub record: metrics::Histogram<f64>,
+    pub record_time: metrics::Histogram<f64>,
     /// Permits that were asked for, without labels.
-    pub asks: metrics::Counter<u64>,
+    pub permits_asked: metrics::Counter<u64>,
     /// Tokens of answers that arrived at this daemon to be delivered to callers.
     pub tokens: metrics::Counter<u64>,
     /// Streams resumed at an endpoint or followed at another coordinator, labelled with which of the two.
@@ -32,9 +32,9 @@
                 .i64_up_down_counter("requests_active")
                 .with_description("Requests in progress.")
                 .build(),
-            first_token: histogram(meter, "first_token_ms", "Acceptance to first token."),
-            record: histogram(meter, "record_ms", "Time to record an intent."),
-            asks: counter(meter, "permits_asked", "Permits that were asked for."),
+            first_token_time: histogram(meter, "first_token_ms", "Acceptance to first token."),
+            record_time: histogram(meter, "record_ms", "Time to record an intent."),
+            permits_asked: counter(meter, "permits_asked", "Permits that were asked for."),
             tokens: counter(meter, "tokens_delivered", "Tokens passed on to callers."),
             resumed: counter(meter, "streams_resumed", "Streams resumed or attached to."),
         }
