--- a/crates/daemon/src/coordinate/driver.rs
+++ b/crates/daemon/src/coordinate/driver.rs
@@ -292,7 +292,7 @@
         u32::try_from(self.job.entry.len()).unwrap_or(u32::MAX)
     }
 
-    /// Reports to the scheduler that the request left the endpoint, unless it was never reported as running.
+    /// Reports to the scheduler that the request left the endpoint, if it was reported as running.
     fn report_finished(&mut self, outcome: decide::Outcome) {
         if std::mem::take(&mut self.is_running) {
             let key = self.job.entry.key.clone();
