--- a/crates/daemon/src/daemon/addresses.rs
+++ b/crates/daemon/src/daemon/addresses.rs
@@ -1,17 +1,17 @@
-//! Where a daemon listens.
+//! The addresses of a daemon.
 
 use std::{fmt, net};
 
-/// Holds the addresses on which a daemon listens.
+/// The addresses on which a daemon listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers.
+    /// The address for callers.
     pub callers: net::SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: net::SocketAddr,
-    /// For the other daemons.
+    /// The address for the other daemons.
     pub peers: net::SocketAddr,
-    /// For the scraping of metrics.
+    /// The address for scraping metrics.
     pub metrics: net::SocketAddr,
 }
 
--- a/crates/daemon/src/daemon/listeners.rs
+++ b/crates/daemon/src/daemon/listeners.rs
@@ -1,11 +1,11 @@
-//! The sockets that a daemon listens on.
+//! The listening sockets of a daemon.
 
 use anyhow::Context as _;
 use tokio::net;
 
 use crate::{daemon, settings};
 
-/// Holds bound sockets.
+/// The bound sockets.
 pub(super) struct Listeners {
     pub(super) callers: net::TcpListener,
     pub(super) operators: net::TcpListener,
--- a/crates/daemon/src/daemon/mod.rs
+++ b/crates/daemon/src/daemon/mod.rs
@@ -1,11 +1,11 @@
-//! One whole daemon: its services, started in order and stopped gracefully.
+//! A complete daemon: starts its services in order and stops them gracefully.
 
 mod addresses;
-mod drained;
-mod faces;
+mod drain;
 mod listeners;
 mod progress;
 mod routes;
+mod servers;
 mod services;
 mod start;
 
--- a/crates/daemon/src/daemon/routes.rs
+++ b/crates/daemon/src/daemon/routes.rs
@@ -1,4 +1,4 @@
-//! How the services reach their counterparts at other daemons.
+//! The calls from services to the same service at other daemons.
 
 use std::{sync, time};
 
@@ -8,10 +8,10 @@
 
 use crate::{config, coordinate, intents, members, peers, schedule};
 
-/// How long a peer may take to answer with configuration changes.
-const PULL: time::Duration = time::Duration::from_secs(2);
+/// The timeout of a call that pulls configuration changes from a peer.
+const PULL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Makes the services' calls over the connections to peers.
+/// Creates the functions through which services call peers.
 #[derive(Clone)]
 pub(super) struct Routes {
     pub(super) own: id::Incarnation,
@@ -31,9 +31,9 @@
                 let call = async move {
                     let client = peers.client(member).await?;
                     client
-                        .changes(peer::within(PULL), request)
+                        .changes(peer::within(PULL_TIMEOUT), request)
                         .await
-                        .map_err(|error| lost(&error))?
+                        .map_err(|error| unavailable(&error))?
                 };
                 call.boxed()
             }),
@@ -42,7 +42,7 @@
 
     pub(super) fn intents(&self) -> intents::Route {
         let views = self.members.subscribe();
-        let (committing, looking) = (self.peers.clone(), self.peers.clone());
+        let (commit_peers, look_up_peers) = (self.peers.clone(), self.peers.clone());
         intents::Route {
             own: self.own,
             owners: sync::Arc::new(move |key, count| {
@@ -50,9 +50,9 @@
                 view.owners(key, count).into_iter().map(|member| member.incarnation).collect()
             }),
             commit: sync::Arc::new(move |member, request, timeout| {
-                let peers = committing.clone();
+                let peers = commit_peers.clone();
                 let call = async move {
-                    let client = reach(&peers, member).await?;
+                    let client = client_of(&peers, member).await?;
                     client
                         .commit(peer::within(timeout), request)
                         .await
@@ -61,13 +61,13 @@
                 call.boxed()
             }),
             look_up: sync::Arc::new(move |member, key, timeout| {
-                let peers = looking.clone();
+                let peers = look_up_peers.clone();
                 let call = async move {
                     let client = peers.client(member).await?;
                     client
                         .look_up(peer::within(timeout), key)
                         .await
-                        .map_err(|error| lost(&error))?
+                        .map_err(|error| unavailable(&error))?
                 };
                 call.boxed()
             }),
@@ -75,26 +75,29 @@
     }
 
     pub(super) fn schedule(&self) -> schedule::Links {
-        let (asking, reporting) = (self.peers.clone(), self.peers.clone());
+        let (ask_peers, report_peers) = (self.peers.clone(), self.peers.clone());
         schedule::Links {
             own: self.own,
             view: self.members.subscribe(),
             ask: sync::Arc::new(move |member, request, timeout| {
-                let peers = asking.clone();
+                let peers = ask_peers.clone();
                 let call = async move {
                     let client = peers.client(member).await?;
-                    client.ask(peer::within(timeout), request).await.map_err(|error| lost(&error))
+                    client
+                        .ask(peer::within(timeout), request)
+                        .await
+                        .map_err(|error| unavailable(&error))
                 };
                 call.boxed()
             }),
             report: sync::Arc::new(move |member, request, timeout| {
-                let peers = reporting.clone();
+                let peers = report_peers.clone();
                 let call = async move {
                     let client = peers.client(member).await?;
                     client
                         .report(peer::within(timeout), request)
                         .await
-                        .map_err(|error| lost(&error))?
+                        .map_err(|error| unavailable(&error))?
                 };
                 call.boxed()
             }),
@@ -112,7 +115,7 @@
                     client
                         .read(peer::within(timeout), request)
                         .await
-                        .map_err(|error| lost(&error))?
+                        .map_err(|error| unavailable(&error))?
                 };
                 call.boxed()
             }),
@@ -120,18 +123,18 @@
     }
 }
 
-/// Returns a client; a failure says that nothing was sent.
-async fn reach(
+/// Returns a client of a member; any failure has kind `Unavailable`, since nothing was sent.
+async fn client_of(
     peers: &peers::Handle,
     member: id::Incarnation,
 ) -> Result<peers::Client, error::Error> {
-    let unavailable = |error: error::Error| {
+    let not_sent = |error: error::Error| {
         error::Error::new(error::ErrorKind::Unavailable, error.message).remedy(error.remedy)
     };
-    peers.client(member).await.map_err(unavailable)
+    peers.client(member).await.map_err(not_sent)
 }
 
-fn lost(error: &impl ToString) -> error::Error {
+fn unavailable(error: &impl ToString) -> error::Error {
     error::Error::new(error::ErrorKind::Unavailable, error.to_string())
 }
 
--- a/crates/daemon/src/daemon/faces.rs
+++ b/crates/daemon/src/daemon/servers.rs
@@ -8,18 +8,18 @@
 
 use crate::{callers, daemon::listeners, daemon::services, metrics, operators, settings};
 
-/// The most events in one page of the time line.
+/// The most events in one page of the timeline.
 const EVENT_PAGE: usize = 1_000;
 
-/// Holds the running servers.
-pub(super) struct Faces {
+/// The running servers of a daemon.
+pub(super) struct Servers {
     callers: http::Server,
     operators: http::Server,
     metrics: http::Server,
 }
 
-impl Faces {
-    /// Starts every server; must be called on the traffic threads.
+impl Servers {
+    /// Starts all servers; must be called on the traffic threads.
     pub(super) fn start(
         kernel: &kernel::Kernel,
         settings: &settings::Settings,
@@ -36,17 +36,17 @@
         ));
         let answer = move |call| sync::Arc::clone(&face).answer(call);
         let callers = http::Server::start(listeners.callers, settings.callers.server(), answer)?;
-        let face = sync::Arc::new(operators_face(settings, services)?);
+        let face = sync::Arc::new(new_operators_face(settings, services)?);
         let answer = move |call| sync::Arc::clone(&face).answer(call);
         let limits = http::ServerLimits::default();
         let operators = http::Server::start(listeners.operators, limits, answer)?;
-        let measured = services.metrics.clone();
-        let answer = move |call| answer_scrape(measured.clone(), call);
+        let metrics_handle = services.metrics.clone();
+        let answer = move |call| answer_scrape(metrics_handle.clone(), call);
         let metrics = http::Server::start(listeners.metrics, limits, answer)?;
         Ok(Self { callers, operators, metrics })
     }
 
-    /// Stops the servers; answers in progress may go on for `grace`.
+    /// Stops the servers; answers in progress may continue for `grace`.
     pub(super) async fn stop(self, grace: time::Duration) {
         tokio::join!(
             self.callers.stop(grace),
@@ -69,7 +69,7 @@
     kernel.traffic().spawn("peers", serve);
 }
 
-fn operators_face(
+fn new_operators_face(
     settings: &settings::Settings,
     services: &services::Services,
 ) -> anyhow::Result<operators::Face> {
@@ -85,7 +85,7 @@
     ))
 }
 
-/// Answers one call of a scraper.
+/// Answers a request for the metrics.
 async fn answer_scrape(
     metrics: metrics::Handle,
     call: http::Call,
--- a/crates/daemon/src/daemon/services.rs
+++ b/crates/daemon/src/daemon/services.rs
@@ -1,4 +1,4 @@
-//! The services of a daemon, started in the order in which they need each other.
+//! Starts the services of a daemon, in the order of their dependencies.
 
 use std::convert;
 
@@ -10,12 +10,12 @@
 
 use crate::{
     clock, config, coordinate,
-    daemon::{drained, progress, routes},
+    daemon::{drain, progress, routes},
     hosts, intents, members, metrics, operators, orders, peers, schedule, settings, timeline,
 };
 
-/// What every service is started with.
-pub(super) struct Base<'a> {
+/// The inputs for starting the services.
+pub(super) struct ServiceStarter<'a> {
     pub(super) kernel: &'a kernel::Kernel,
     pub(super) settings: &'a settings::Settings,
     pub(super) own: id::Incarnation,
@@ -24,7 +24,7 @@
     pub(super) peer_address: std::net::SocketAddr,
 }
 
-/// The handles that the faces need.
+/// The service handles that the servers use, and the state for stopping.
 pub(super) struct Services {
     pub(super) config: config::Handle,
     pub(super) members: members::Handle,
@@ -37,7 +37,7 @@
     pub(super) methods: peer::Methods,
 }
 
-impl Base<'_> {
+impl ServiceStarter<'_> {
     pub(super) fn start(&self) -> anyhow::Result<Services> {
         let registry = self.kernel.registry();
         let timeline = timeline::Handle::new(
@@ -50,11 +50,11 @@
         let kv = platform::KvClient::new(self.settings.platform.kv_settings());
         let hosts = self.start_hosts();
         let (config, keeper) = config::new(self.settings.config.clone(), kv.clone());
-        self.run("config", keeper.run());
-        let (versions, told) = watch::channel(decide::Versions::default());
-        let (members, peers) = self.start_members(told, &hosts);
+        self.spawn("config", keeper.run());
+        let (versions, versions_receiver) = watch::channel(decide::Versions::default());
+        let (members, peers) = self.start_members(versions_receiver, &hosts);
         let routes = routes::Routes { own: self.own, members: members.clone(), peers };
-        self.run("config", config.clone().follow(routes.config()));
+        self.spawn("config", config.clone().follow(routes.config()));
         let intents = self.start_intents(&routes, kv.clone())?;
         intents.export(&metrics.meter());
         let orders = self.start_orders(&config, &members, kv.clone());
@@ -74,7 +74,7 @@
             timeline: timeline.clone(),
             metrics: metrics.clone(),
         });
-        self.run_result("coordinate", coordinate.clone().sweep());
+        self.spawn_result("coordinate", coordinate.clone().sweep());
         registry.publish("timeline", timeline.clone())?;
         registry.publish("metrics", metrics.clone())?;
         registry.publish("hosts", hosts)?;
@@ -92,16 +92,16 @@
         coordinate.serve_peers(&mut methods);
         serve_config(&config, &mut methods);
         let progress = self.start_progress(&members);
-        let drained = drained::Drained::new(self.own, config.clone(), &members);
-        let own = progress::Own {
+        let drain = drain::DrainPoller::new(self.own, config.clone(), &members);
+        let local_progress = progress::LocalProgress {
             host: self.settings.host.clone(),
             config: config.clone(),
             coordinate: coordinate.clone(),
             gate: gate.clone(),
-            drained: drained.clone(),
+            drain: drain.clone(),
         };
-        self.run("drained", drained.run());
-        self.run("progress", own.tell(versions));
+        self.spawn("drained", drain.run());
+        self.spawn("progress", local_progress.publish(versions));
         Ok(Services {
             config,
             members,
@@ -119,7 +119,7 @@
         let platform = &self.settings.platform;
         let client = platform::HostsClient::new(platform.hosts, platform.call());
         let (hosts, poller) = hosts::new(self.settings.hosts, client);
-        self.run("hosts", poller.run());
+        self.spawn("hosts", poller.run());
         hosts
     }
 
@@ -150,7 +150,7 @@
             hosts: Some(hosts.clone()),
             seeds: self.settings.peers.seeds.clone(),
         };
-        self.run("members", runner.run(sources));
+        self.spawn("members", runner.run(sources));
         (members, peers)
     }
 
@@ -176,7 +176,7 @@
     ) -> orders::Handle {
         let sources = orders::Sources { config: config.subscribe(), view: members.subscribe() };
         let (orders, service) = orders::new(self.settings.orders, kv, self.own, sources);
-        self.run("orders", service.run());
+        self.spawn("orders", service.run());
         orders
     }
 
@@ -195,7 +195,7 @@
             scope: self.kernel.control().clone(),
         };
         let (schedule, service) = schedule::create(self.settings.schedule.clone(), sources);
-        self.run("schedule", service.run());
+        self.spawn("schedule", service.run());
         schedule
     }
 
@@ -212,25 +212,25 @@
             kv,
             bound: self.settings.coordinate.isolation(),
         };
-        self.run("isolation", watch.run());
+        self.spawn("isolation", watch.run());
         isolation
     }
 
     fn start_progress(&self, members: &members::Handle) -> watch::Receiver<operators::Progress> {
         let (sender, progress) = watch::channel(operators::Progress::default());
-        self.run("progress", progress::follow(members.clone(), sender));
+        self.spawn("progress", progress::publish_all(members.clone(), sender));
         progress
     }
 
-    /// Runs a future on the control thread until the daemon ends.
-    fn run(&self, name: &str, service: impl Future<Output = ()> + Send + 'static) {
-        self.run_result(name, async move {
+    /// Spawns a future on the control thread; the future is cancelled when the daemon ends.
+    fn spawn(&self, name: &str, service: impl Future<Output = ()> + Send + 'static) {
+        self.spawn_result(name, async move {
             service.await;
             Ok(())
         });
     }
 
-    fn run_result(
+    fn spawn_result(
         &self,
         name: &str,
         service: impl Future<Output = Result<(), convert::Infallible>> + Send + 'static,
@@ -246,9 +246,9 @@
 }
 
 fn serve_config(config: &config::Handle, methods: &mut peer::Methods) {
-    let here = config.clone();
+    let handle = config.clone();
     methods.changes = peer::Methods::method(move |_, request| {
-        let here = here.clone();
-        async move { here.answer(request).await }
+        let handle = handle.clone();
+        async move { handle.answer(request).await }
     });
 }
--- a/crates/daemon/src/daemon/start.rs
+++ b/crates/daemon/src/daemon/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a daemon.
+//! Starts and stops a daemon.
 
 use std::{sync, time};
 
@@ -9,16 +9,16 @@
 
 use crate::{
     clock,
-    daemon::{Addresses, faces, listeners, services},
+    daemon::{Addresses, listeners, servers, services},
     settings,
 };
 
-/// How long answers whose requests have ended may take to reach their callers.
-const FLUSH: time::Duration = time::Duration::from_secs(5);
-/// How long the others may take to hear that this daemon leaves.
-const LEAVE: time::Duration = time::Duration::from_millis(300);
+/// How long the servers may take to send the answers of ended requests to their callers.
+const FLUSH_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// How long to wait until the other daemons have learned that this daemon leaves.
+const LEAVE_DELAY: time::Duration = time::Duration::from_millis(300);
 
-/// Runs one daemon.
+/// A running daemon.
 ///
 /// ```no_run
 /// use trefoildyke_daemon::{daemon, settings};
@@ -34,15 +34,15 @@
     settings: settings::Settings,
     addresses: Addresses,
     services: services::Services,
-    faces: faces::Faces,
+    servers: servers::Servers,
 }
 
 impl Daemon {
-    /// Starts every service and listens.
+    /// Starts all services and listens.
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be listened on or a setting does not fit.
+    /// Fails if the daemon cannot listen on an address or if a setting is invalid.
     pub fn start(settings: &settings::Settings) -> anyhow::Result<Self> {
         let kernel = kernel::Kernel::builder().with_traffic_threads(settings.threads).start()?;
         let own = id::Incarnation::new(clock::unix_us() / 1_000, rand::random());
@@ -54,7 +54,7 @@
         };
         let listeners = kernel.block_on(listeners::Listeners::bind(&settings.listen))?;
         let addresses = listeners.addresses()?;
-        let base = services::Base {
+        let starter = services::ServiceStarter {
             kernel: &kernel,
             settings,
             own,
@@ -62,26 +62,26 @@
             identity: identity.clone(),
             peer_address: addresses.peers,
         };
-        let services = base.start()?;
+        let services = starter.start()?;
         watch_planned_stop(&kernel, settings, &services);
-        let faces = kernel.block_on(async {
-            faces::Faces::start(&kernel, settings, identity, listeners, &services)
+        let servers = kernel.block_on(async {
+            servers::Servers::start(&kernel, settings, identity, listeners, &services)
         })?;
         services.timeline.record(None, "started", addresses.to_string());
-        Ok(Self { kernel, settings: settings.clone(), addresses, services, faces })
+        Ok(Self { kernel, settings: settings.clone(), addresses, services, servers })
     }
 
-    /// Returns where the daemon listens.
+    /// Returns the addresses on which the daemon listens.
     pub const fn addresses(&self) -> &Addresses {
         &self.addresses
     }
 
-    /// Returns the daemon's services by name.
+    /// Returns the registry of the daemon's services by name.
     pub const fn registry(&self) -> &kernel::Registry {
         self.kernel.registry()
     }
 
-    /// Runs until a signal, a planned stop of the host or a fault, and then stops gracefully.
+    /// Runs until a signal, a planned stop of the host, or a failure; then stops gracefully.
     ///
     /// # Errors
     ///
@@ -91,13 +91,13 @@
         self.stop()
     }
 
-    /// Stops gracefully: takes nothing new, refuses what waits, lets the rest finish.
+    /// Stops gracefully: accepts no new requests, refuses waiting ones, and lets the others finish.
     ///
     /// # Errors
     ///
     /// Fails if a task has failed.
     pub fn stop(self) -> anyhow::Result<()> {
-        let Self { kernel, settings, services, faces, .. } = self;
+        let Self { kernel, settings, services, servers, .. } = self;
         services.timeline.record(None, "stopping", "");
         kernel.block_on(async {
             services.members.leave().await;
@@ -106,11 +106,13 @@
             let limit = settings.coordinate.drain();
             if tokio::time::timeout(limit, drained).await.is_err() {
                 let left = services.gate.in_progress();
-                log::error!("{left} requests were cut off; allow a longer coordinate.drain_ms");
+                log::error!(
+                    "{left} requests were aborted at shutdown; increase coordinate.drain_ms"
+                );
             }
-            // Lets the others hear of the leaving even if nothing was in progress.
-            tokio::time::sleep(LEAVE).await;
-            faces.stop(FLUSH).await;
+            // Gives the other daemons time to learn of the leave even if no request was in progress.
+            tokio::time::sleep(LEAVE_DELAY).await;
+            servers.stop(FLUSH_TIMEOUT).await;
         });
         let faults = kernel.close();
         match faults.first() {
@@ -120,7 +122,7 @@
     }
 }
 
-/// Begins a graceful stop when a planned stop of this host is in force.
+/// Starts a graceful stop when a planned stop of this host is in force.
 fn watch_planned_stop(
     kernel: &kernel::Kernel,
     settings: &settings::Settings,
--- a/crates/daemon/src/endpoints/handle.rs
+++ b/crates/daemon/src/endpoints/handle.rs
@@ -1,4 +1,4 @@
-//! How the schedule service asks for more than the regular readings.
+//! The handle through which the schedule service requests extra load reports.
 
 use std::{
     sync::{self, atomic},
@@ -11,23 +11,23 @@
 
 use crate::{endpoints, hosts};
 
-const PROBES: usize = 64;
-/// Reviews come ten times a second.
-const REVIEW_LIMIT: time::Duration = time::Duration::from_secs(1);
+const PROBE_CAPACITY: usize = 64;
+/// The age from which a review is outdated; reviews run ten times a second.
+const MAX_REVIEW_AGE: time::Duration = time::Duration::from_secs(1);
 
-/// Asks a shard's watcher for fresh load reports. Clones ask the same watcher.
+/// A handle to the watcher of one shard. Clones share the watcher.
 #[derive(Clone, Debug)]
 pub struct Handle {
     probes: mpsc::Sender<id::EndpointName>,
     origin: tokio::time::Instant,
-    /// When the standings were reviewed last, in microseconds since `origin`.
+    /// The time of the last review of the endpoints, in microseconds since `origin`.
     reviewed: sync::Arc<atomic::AtomicU64>,
 }
 
-/// Creates the watch over one shard: the handle and the watcher to run.
+/// Creates the handle and the watcher of one shard; the caller runs the watcher.
 ///
-/// The watcher sends what the shard's scheduler must know to `feed`, with times counted from
-/// `origin`, which the scheduler's own times must be counted from as well.
+/// The watcher sends inputs for the shard's scheduler to `feed`. Their times count from `origin`, and
+/// so must the scheduler's own times.
 pub fn new(
     settings: endpoints::Settings,
     shard: endpoints::Shard,
@@ -36,8 +36,9 @@
     origin: tokio::time::Instant,
     feed: mpsc::Sender<schedule::Input>,
 ) -> (Handle, endpoints::Watcher) {
-    let (probes, probed) = mpsc::channel(PROBES);
-    let sources = endpoints::watcher::Sources { config, hosts: hosts.subscribe(), probes: probed };
+    let (probes, probe_receiver) = mpsc::channel(PROBE_CAPACITY);
+    let sources =
+        endpoints::watcher::Sources { config, hosts: hosts.subscribe(), probes: probe_receiver };
     let reviewed = sync::Arc::new(atomic::AtomicU64::new(0));
     let shared = sync::Arc::clone(&reviewed);
     let watcher = endpoints::Watcher::new(settings, shard, sources, origin, feed, shared);
@@ -45,18 +46,18 @@
 }
 
 impl Handle {
-    /// Returns whether what the watcher has fed in so far may be relied on.
+    /// Returns whether the inputs that the watcher has sent are current.
     ///
-    /// That is not so before the first review and after a pause of this process, until the watcher
-    /// has looked again; a scheduler that grants then could choose an endpoint that has left.
+    /// They are not current before the first review, nor between a pause of this process and the next
+    /// review. A scheduler that grants a permit then could choose an endpoint that has left.
     pub fn is_current(&self) -> bool {
         let reviewed = time::Duration::from_micros(self.reviewed.load(atomic::Ordering::Acquire));
-        !reviewed.is_zero() && self.origin.elapsed().saturating_sub(reviewed) < REVIEW_LIMIT
+        !reviewed.is_zero() && self.origin.elapsed().saturating_sub(reviewed) < MAX_REVIEW_AGE
     }
 
-    /// Asks for a fresh load report of an endpoint, which the watcher feeds in when it comes.
+    /// Requests a new load report of an endpoint; the watcher sends it to the scheduler on arrival.
     pub fn probe(&self, endpoint: &id::EndpointName) {
-        // A probe that finds the channel full is one too many: others are on their way.
+        // If the channel is full, the probe is dropped, because enough probes are queued already.
         let _ = self.probes.try_send(endpoint.clone());
     }
 }
--- a/crates/daemon/src/endpoints/mod.rs
+++ b/crates/daemon/src/endpoints/mod.rs
@@ -1,11 +1,11 @@
 //! Watches the endpoints of the pool shards that this daemon schedules.
 //!
-//! For each shard the schedule service runs one [`Watcher`], which tells it which endpoints get
-//! work and passes on their load reports and cache events. What counts is decided in
+//! The schedule service runs one [`Watcher`] per shard. The watcher tells it which endpoints may get
+//! work, and passes on their load reports and cache events. The rules are in
 //! `trefoildyke_decide::endpoints`.
 
 mod handle;
-mod polled;
+mod poll_result;
 mod poller;
 mod settings;
 mod shard;
--- a/crates/daemon/src/endpoints/poller.rs
+++ b/crates/daemon/src/endpoints/poller.rs
@@ -1,27 +1,28 @@
-//! When one endpoint is called next.
+//! The schedule of the calls to one endpoint.
 
 use std::{net, time};
 
 use trefoildyke_types::{id, resource};
 use trefoildyke_wire::endpoint;
 
-use crate::endpoints::{self, polled};
+use crate::endpoints::{self, poll_result};
 
-/// Holds the client and the next calls of one endpoint.
+/// The client of one endpoint and the times of its next calls.
 #[derive(Debug)]
 pub(super) struct Poller {
     client: endpoint::EngineClient,
     has_cache: bool,
-    /// Whether a load call, or a cache call, is in progress; at most one of each at a time.
-    loading: bool,
-    paging: bool,
+    /// Whether a load call is in progress; at most one at a time.
+    load_in_progress: bool,
+    /// Whether a cache call is in progress; at most one at a time.
+    cache_in_progress: bool,
     next_load: tokio::time::Instant,
     next_cache: tokio::time::Instant,
-    /// The `after` of the next reading of cache events.
+    /// The position in the cache events from which the next call reads on.
     after: u64,
 }
 
-/// What to call an endpoint for.
+/// A call to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Call {
     Load,
@@ -40,8 +41,8 @@
         Self {
             client: endpoint::EngineClient::new(spec.address, limits),
             has_cache,
-            loading: false,
-            paging: false,
+            load_in_progress: false,
+            cache_in_progress: false,
             next_load: now,
             next_cache: now,
             after: 0,
@@ -52,8 +53,8 @@
         self.client.address()
     }
 
-    /// Asks for a load report as soon as possible.
-    pub(super) fn hurry(&mut self) {
+    /// Makes the next load call due now.
+    pub(super) fn request_load(&mut self) {
         self.next_load = tokio::time::Instant::now();
     }
 
@@ -64,47 +65,50 @@
         settings: &endpoints::Settings,
     ) -> Vec<Call> {
         let mut calls = Vec::new();
-        if !self.loading && now >= self.next_load {
-            self.loading = true;
-            self.next_load = later(now, settings.load_interval());
+        if !self.load_in_progress && now >= self.next_load {
+            self.load_in_progress = true;
+            self.next_load = next_call_at(now, settings.load_interval());
             calls.push(Call::Load);
         }
-        if self.has_cache && !self.paging && now >= self.next_cache {
-            self.paging = true;
-            self.next_cache = later(now, settings.cache_interval());
+        if self.has_cache && !self.cache_in_progress && now >= self.next_cache {
+            self.cache_in_progress = true;
+            self.next_cache = next_call_at(now, settings.cache_interval());
             calls.push(Call::Cache { after: self.after });
         }
         calls
     }
 
-    pub(super) fn loaded(&mut self) {
-        self.loading = false;
+    pub(super) fn load_ended(&mut self) {
+        self.load_in_progress = false;
     }
 
-    /// Notes the end of a reading of cache events, which goes on at `next`.
-    pub(super) fn paged(&mut self, next: Option<u64>) {
-        self.paging = false;
+    /// Records the end of a cache call; the next one reads on from `next`, or from the same position if
+    /// it is `None`.
+    pub(super) fn cache_ended(&mut self, next: Option<u64>) {
+        self.cache_in_progress = false;
         self.after = next.unwrap_or(self.after);
     }
 
-    /// Returns the future that carries out a call.
+    /// Returns the future that makes a call.
     pub(super) fn call(
         &self,
         endpoint: id::EndpointName,
         call: Call,
-    ) -> impl Future<Output = polled::Polled> + Send + 'static {
+    ) -> impl Future<Output = poll_result::PollResult> + Send + 'static {
         let client = self.client.clone();
         async move {
             let answer = match call {
-                Call::Load => polled::Answer::Load(client.load().await),
-                Call::Cache { after } => polled::Answer::Cache(client.cache_events(after).await),
+                Call::Load => poll_result::Answer::Load(client.load().await),
+                Call::Cache { after } => {
+                    poll_result::Answer::Cache(client.cache_events(after).await)
+                }
             };
-            polled::Polled { endpoint, answer }
+            poll_result::PollResult { endpoint, answer }
         }
     }
 }
 
-/// Returns a time around `interval` later, so that calls to many endpoints spread out.
-fn later(now: tokio::time::Instant, interval: time::Duration) -> tokio::time::Instant {
+/// Returns `now` plus `interval` with jitter, so that calls to many endpoints spread out.
+fn next_call_at(now: tokio::time::Instant, interval: time::Duration) -> tokio::time::Instant {
     now + interval.mul_f64(rand::random_range(0.9..1.1))
 }
--- a/crates/daemon/src/endpoints/settings.rs
+++ b/crates/daemon/src/endpoints/settings.rs
@@ -1,18 +1,18 @@
-//! Settings of the service.
+//! Settings of the endpoint watchers.
 
 use std::time;
 
-/// Settings of the endpoint service, in milliseconds.
+/// Settings of the endpoint watchers, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How long to wait between two load reports of an endpoint; at least 1.
+    /// The interval between the load calls to an endpoint; at least 1.
     pub load_interval_ms: u64,
-    /// How long to wait between two readings of an engine's cache events; at least 1.
+    /// The interval between the calls for an engine's cache events; at least 1.
     pub cache_interval_ms: u64,
-    /// How long an endpoint may leave calls unanswered before it gets no new work.
+    /// How long an endpoint may leave calls unanswered before it stops getting new work.
     pub unreachable_after_ms: u64,
-    /// How long an endpoint's answer to one call may take.
+    /// The timeout of a call to an endpoint, and of opening a connection to it.
     pub answer_ms: u64,
 }
 
--- a/crates/daemon/src/endpoints/watcher.rs
+++ b/crates/daemon/src/endpoints/watcher.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoints of one shard.
+//! The task that watches the endpoints of one shard.
 
 use std::{collections, sync, sync::atomic, time};
 
@@ -8,18 +8,19 @@
 use trefoildyke_types::{engine, id, resource, time::Timestamp};
 
 use crate::{
-    endpoints::{self, polled, poller},
+    endpoints::{self, poll_result, poller},
     hosts,
 };
 
-/// How often due calls and what time alone changes are looked at.
-const TICK: time::Duration = time::Duration::from_millis(100);
-/// A load report that claims to be older, or to come from the future, has a clock of its own.
-const OLDEST_REPORT: time::Duration = time::Duration::from_secs(10);
-/// The age assumed of a report whose own time cannot be used.
-const USUAL_AGE: time::Duration = time::Duration::from_secs(1);
+/// The interval at which the watcher starts due calls and reviews the endpoints.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// The oldest timestamp that is trusted. A report that claims to be older, or to come from the
+/// future, shows that the endpoint's clock is wrong.
+const MAX_REPORT_AGE: time::Duration = time::Duration::from_secs(10);
+/// The age assumed for a report whose timestamp is not trusted.
+const DEFAULT_REPORT_AGE: time::Duration = time::Duration::from_secs(1);
 
-/// What the watcher learns from.
+/// The inputs of a watcher.
 #[derive(Debug)]
 pub(super) struct Sources {
     pub(super) config: watch::Receiver<sync::Arc<config::Snapshot>>,
@@ -39,14 +40,14 @@
     feed: mpsc::Sender<schedule::Input>,
     standings: decisions::Standings,
     pollers: collections::BTreeMap<id::EndpointName, poller::Poller>,
-    /// Calls in progress; they end with the watcher.
-    calls: stream::FuturesUnordered<BoxFuture<'static, polled::Polled>>,
-    /// When the standings were reviewed last, in microseconds since `origin`.
+    /// The calls in progress; dropping the watcher cancels them.
+    calls: stream::FuturesUnordered<BoxFuture<'static, poll_result::PollResult>>,
+    /// The time of the last review of the endpoints, in microseconds since `origin`.
     reviewed: sync::Arc<atomic::AtomicU64>,
 }
 
-/// Says that the scheduler no longer listens.
-struct Ended;
+/// The error that ends the watcher: the feed to the scheduler or the configuration channel is closed.
+struct Closed;
 
 impl Watcher {
     pub(super) fn new(
@@ -76,79 +77,80 @@
         }
     }
 
-    /// Watches until the scheduler no longer listens or the configuration's service has ended;
-    /// cancel it by dropping the future.
+    /// Runs until the feed to the scheduler or the configuration channel is closed.
+    ///
+    /// Dropping the future cancels the watcher.
     pub async fn run(mut self) {
-        // An ended feed is the regular end.
+        // A closed channel is the normal end.
         let _ = self.watch().await;
     }
 
-    async fn watch(&mut self) -> Result<(), Ended> {
-        let mut ticks = tokio::time::interval(TICK);
+    async fn watch(&mut self) -> Result<(), Closed> {
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         self.read_hosts().await?;
         self.read_config().await?;
         loop {
             tokio::select! {
                 changed = self.sources.config.changed() => {
-                    changed.map_err(|_| Ended)?;
+                    changed.map_err(|_| Closed)?;
                     self.read_config().await?;
                 }
                 Ok(()) = self.sources.hosts.changed() => self.read_hosts().await?,
-                Some(endpoint) = self.sources.probes.recv() => self.hurry(&endpoint),
-                Some(polled) = self.calls.next() => self.take_in(polled).await?,
-                () = self.feed.closed() => return Err(Ended),
+                Some(endpoint) = self.sources.probes.recv() => self.request_load(&endpoint),
+                Some(result) = self.calls.next() => self.handle_result(result).await?,
+                () = self.feed.closed() => return Err(Closed),
                 _ = ticks.tick() => self.review().await?,
             }
             self.call_due();
         }
     }
 
-    async fn read_config(&mut self) -> Result<(), Ended> {
+    async fn read_config(&mut self) -> Result<(), Closed> {
         let snapshot = sync::Arc::clone(&self.sources.config.borrow_and_update());
-        let told = self.standings.configure(self.now(), &snapshot);
+        let inputs = self.standings.configure(self.now(), &snapshot);
         self.is_engine = snapshot
             .pool(&self.pool)
             .is_some_and(|pool| matches!(pool.protocol, resource::PoolProtocol::Engine { .. }));
-        self.follow_endpoints();
-        tell(&self.feed, told).await
+        self.update_pollers();
+        send_all(&self.feed, inputs).await
     }
 
-    async fn review(&mut self) -> Result<(), Ended> {
+    async fn review(&mut self) -> Result<(), Closed> {
         let now = self.now();
-        let told = self.standings.review(now);
+        let inputs = self.standings.review(now);
         if self.standings.watched().count() < self.pollers.len() {
-            self.follow_endpoints();
+            self.update_pollers();
         }
-        tell(&self.feed, told).await?;
+        send_all(&self.feed, inputs).await?;
         if self.standings.is_decided(now) {
             self.reviewed.store(now.as_micros(), atomic::Ordering::Release);
         }
         Ok(())
     }
 
-    async fn read_hosts(&mut self) -> Result<(), Ended> {
+    async fn read_hosts(&mut self) -> Result<(), Closed> {
         let reading = self.sources.hosts.borrow_and_update().clone();
         let Some(reading) = reading else { return Ok(()) };
         let begun = Timestamp::ZERO + reading.begun.saturating_duration_since(self.origin);
-        let told = self.standings.list(self.now(), begun, reading.hosts);
-        tell(&self.feed, told).await
+        let inputs = self.standings.list(self.now(), begun, reading.hosts);
+        send_all(&self.feed, inputs).await
     }
 
-    /// Makes the pollers those of the endpoints that are watched.
-    fn follow_endpoints(&mut self) {
+    /// Updates the pollers to the set of watched endpoints; keeps each poller whose address is the same.
+    fn update_pollers(&mut self) {
         let mut old = std::mem::take(&mut self.pollers);
         for (name, spec) in self.standings.watched() {
             let has_cache = self.is_engine && spec.cache_tokens > 0;
             let same = old.remove(name).filter(|poller| poller.address() == spec.address);
-            let fresh = || poller::Poller::new(spec, has_cache, &self.settings);
-            self.pollers.insert(name.clone(), same.unwrap_or_else(fresh));
+            let create = || poller::Poller::new(spec, has_cache, &self.settings);
+            self.pollers.insert(name.clone(), same.unwrap_or_else(create));
         }
     }
 
-    fn hurry(&mut self, endpoint: &id::EndpointName) {
+    fn request_load(&mut self, endpoint: &id::EndpointName) {
         if let Some(poller) = self.pollers.get_mut(endpoint) {
-            poller.hurry();
+            poller.request_load();
         }
     }
 
@@ -161,17 +163,17 @@
         }
     }
 
-    async fn take_in(&mut self, polled: polled::Polled) -> Result<(), Ended> {
-        let polled::Polled { endpoint, answer } = polled;
+    async fn handle_result(&mut self, result: poll_result::PollResult) -> Result<(), Closed> {
+        let poll_result::PollResult { endpoint, answer } = result;
         let Some(poller) = self.pollers.get_mut(&endpoint) else { return Ok(()) };
         let (answered, input) = match answer {
-            polled::Answer::Load(result) => {
-                poller.loaded();
+            poll_result::Answer::Load(result) => {
+                poller.load_ended();
                 let answered = result.is_ok();
                 (answered, result.ok().map(|report| self.load(endpoint.clone(), report)))
             }
-            polled::Answer::Cache(result) => {
-                poller.paged(result.as_ref().ok().map(|page| page.next));
+            poll_result::Answer::Cache(result) => {
+                poller.cache_ended(result.as_ref().ok().map(|page| page.next));
                 let answered = result.is_ok();
                 let events = result.map(|page| page.events).unwrap_or_default();
                 let input = schedule::Input::Cache { endpoint: endpoint.clone(), events };
@@ -179,10 +181,10 @@
             }
         };
         if answered {
-            let told = self.standings.answered(self.now(), &endpoint);
-            tell(&self.feed, told).await?;
+            let inputs = self.standings.answered(self.now(), &endpoint);
+            send_all(&self.feed, inputs).await?;
         }
-        tell(&self.feed, input.into_iter().filter(|input| !is_empty(input)).collect()).await
+        send_all(&self.feed, input.into_iter().filter(|input| !is_empty(input)).collect()).await
     }
 
     fn load(&self, endpoint: id::EndpointName, report: engine::LoadReport) -> schedule::Input {
@@ -197,12 +199,12 @@
     }
 }
 
-async fn tell(
+async fn send_all(
     feed: &mpsc::Sender<schedule::Input>,
     inputs: Vec<schedule::Input>,
-) -> Result<(), Ended> {
+) -> Result<(), Closed> {
     for input in inputs {
-        feed.send(input).await.map_err(|_| Ended)?;
+        feed.send(input).await.map_err(|_| Closed)?;
     }
     Ok(())
 }
@@ -211,9 +213,9 @@
     matches!(input, schedule::Input::Cache { events, .. } if events.is_empty())
 }
 
-/// Returns how long ago a report was true.
+/// Returns the age of a load report.
 fn age(report: &engine::LoadReport) -> time::Duration {
     let now = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
     let age = now.checked_sub(time::Duration::from_millis(report.as_of_ms));
-    age.filter(|age| *age <= OLDEST_REPORT).unwrap_or(USUAL_AGE)
+    age.filter(|age| *age <= MAX_REPORT_AGE).unwrap_or(DEFAULT_REPORT_AGE)
 }
--- a/crates/daemon/src/members/command.rs
+++ b/crates/daemon/src/members/command.rs
@@ -1,12 +1,12 @@
-//! What reaches the service's task.
+//! Commands to the membership task.
 
 use tokio::sync::oneshot;
 use trefoildyke_decide::members;
 
-/// Asks the service's task for something.
+/// A command to the membership task.
 pub(super) enum Command {
-    /// Merge a peer's digest and answer it.
+    /// Merge the digest of a peer and answer with the own digest.
     Received(members::Digest, oneshot::Sender<members::Digest>),
-    /// Announce that this daemon shuts down.
+    /// Announce to the members that this daemon shuts down.
     Leave,
 }
--- a/crates/daemon/src/members/handle.rs
+++ b/crates/daemon/src/members/handle.rs
@@ -1,4 +1,4 @@
-//! What the other services use.
+//! The handle through which other services read the membership.
 
 use std::{net, sync, time};
 
@@ -13,12 +13,12 @@
     peers,
 };
 
-const COMMANDS: usize = 256;
+const COMMAND_CAPACITY: usize = 256;
 
-/// How long a member that this daemon is asked to reach may take to answer.
-pub(super) const PROBE: time::Duration = time::Duration::from_millis(700);
+/// The timeout of a ping that this daemon sends on behalf of another member.
+pub(super) const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
-/// Reads the membership; published as `members`.
+/// A handle to the membership service; published in the registry as `members`.
 #[derive(Clone)]
 pub struct Handle {
     pub(super) own: id::Incarnation,
@@ -29,14 +29,16 @@
     pub(super) contact: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
-/// Creates the service: the handle for the others and the task to run on the control thread.
+/// Creates the service.
+///
+/// Returns the handle for the other services and the task, which must run on the control thread.
 pub fn new(
     own: id::Incarnation,
     place: members::Place,
     params: members::Params,
     clock: clock::Clock,
 ) -> (Handle, Runner) {
-    let (commands, received) = mpsc::channel(COMMANDS);
+    let (commands, received) = mpsc::channel(COMMAND_CAPACITY);
     let membership = members::Membership::new(own, place, params, clock.mono());
     let (views_sender, views) = watch::channel(sync::Arc::new(membership.view()));
     let (newest_sender, newest) = watch::channel(None);
@@ -60,56 +62,56 @@
         self.own
     }
 
-    /// Returns the members as this daemon sees them now.
+    /// Returns the current view of the members at this daemon.
     pub fn view(&self) -> sync::Arc<members::View> {
         sync::Arc::clone(&self.views.borrow())
     }
 
-    /// Returns a receiver of every later view.
+    /// Returns a receiver of the latest view of the members.
     pub fn subscribe(&self) -> watch::Receiver<sync::Arc<members::View>> {
         self.views.clone()
     }
 
-    /// Returns a receiver of the highest configuration version that a peer has announced.
+    /// Returns a receiver of the newest configuration version that a peer has announced.
     pub fn newest(&self) -> watch::Receiver<Option<config::Newest>> {
         self.newest.clone()
     }
 
-    /// Returns a receiver of how far every member has come.
+    /// Returns a receiver of the versions that every member has reached.
     ///
-    /// It falls back to zero whenever the set of members changes; what was once reached by a set
-    /// stays so for that set.
+    /// The versions fall back to zero whenever the set of members changes. For one set of members,
+    /// a version that was reached stays reached.
     pub fn in_force(&self) -> watch::Receiver<InForce> {
         self.in_force.clone()
     }
 
-    /// Returns when any peer was last heard, if ever.
+    /// Returns when this daemon last heard from any peer, or `None` if it never has.
     pub fn contact(&self) -> Option<tokio::time::Instant> {
         *self.contact.borrow()
     }
 
-    /// Returns where a member that is not dead takes connections.
+    /// Returns the peer address of a member; `None` if the member is unknown or does not count any more.
     pub fn address(&self, incarnation: id::Incarnation) -> Option<net::SocketAddr> {
         address(&self.views.borrow(), incarnation)
     }
 
-    /// Tells the others that this daemon shuts down and takes no soft roles any more.
+    /// Announces to the members that this daemon shuts down and takes no soft roles any more.
     pub async fn leave(&self) {
-        // The task is gone only if the daemon has stopped already.
+        // Sending fails only if the task has ended, that is, if the daemon has stopped already.
         let _ = self.commands.send(command::Command::Leave).await;
     }
 
-    /// Serves the calls of peers that concern membership.
+    /// Registers the methods that peers call for the membership.
     pub fn serve_peers(&self, peers: &peers::Handle, methods: &mut peer::Methods) {
-        let here = self.clone();
+        let handle = self.clone();
         methods.exchange = peer::Methods::method(move |_, digest| {
-            let here = here.clone();
-            async move { here.exchange_for_peer(&digest).await }
+            let handle = handle.clone();
+            async move { handle.exchange_for_peer(&digest).await }
         });
         let peers = peers.clone();
         methods.probe = peer::Methods::method(move |_, target| {
             let peers = peers.clone();
-            async move { Ok(reach(&peers, target).await) }
+            async move { Ok(ping_member(&peers, target).await) }
         });
     }
 
@@ -120,13 +122,13 @@
         let digest = digest.decode()?;
         let (reply, answer) = oneshot::channel();
         let command = command::Command::Received(digest, reply);
-        self.commands.send(command).await.map_err(|_| stopping())?;
-        let answer: members::Digest = answer.await.map_err(|_| stopping())?;
+        self.commands.send(command).await.map_err(|_| stopping_error())?;
+        let answer: members::Digest = answer.await.map_err(|_| stopping_error())?;
         Ok(peer::Payload::encode(&answer)?)
     }
 }
 
-/// Returns where a member that is not dead takes connections.
+/// Returns the peer address of a member; `None` if the member is unknown or does not count any more.
 pub(super) fn address(
     view: &members::View,
     incarnation: id::Incarnation,
@@ -134,16 +136,16 @@
     view.find(incarnation).filter(|member| member.state.counts()).map(|member| member.peer)
 }
 
-/// Returns whether a member answers in time.
-async fn reach(peers: &peers::Handle, target: id::Incarnation) -> bool {
+/// Returns whether a member answers a ping within [`PROBE_TIMEOUT`].
+async fn ping_member(peers: &peers::Handle, target: id::Incarnation) -> bool {
     let ping = async {
         let client = peers.client(target).await.ok()?;
-        client.ping(peer::within(PROBE)).await.ok()
+        client.ping(peer::within(PROBE_TIMEOUT)).await.ok()
     };
-    tokio::time::timeout(PROBE, ping).await.is_ok_and(|answer| answer.is_some())
+    tokio::time::timeout(PROBE_TIMEOUT, ping).await.is_ok_and(|answer| answer.is_some())
 }
 
-fn stopping() -> error::Error {
+fn stopping_error() -> error::Error {
     error::Error::new(error::ErrorKind::Unavailable, "the daemon is stopping")
         .remedy("ask another daemon")
 }
--- a/crates/daemon/src/members/in_force.rs
+++ b/crates/daemon/src/members/in_force.rs
@@ -1,12 +1,12 @@
-//! How far every member has come.
+//! The versions that every member has reached.
 
 use trefoildyke_decide::members;
 
-/// Says how far every member of a set has come.
+/// The versions that every member of a set has reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InForce {
-    /// How far; zero while it is not known for the present set of members.
+    /// The versions; zero while they are not known for the current set of members.
     pub versions: members::Versions,
-    /// [`members::View::hash`] of the set.
+    /// The [`members::View::hash`] of the set.
     pub members: u64,
 }
--- a/crates/daemon/src/members/mod.rs
+++ b/crates/daemon/src/members/mod.rs
@@ -1,7 +1,7 @@
-//! The membership service: who is there, and which configuration version is in force everywhere.
+//! The membership service: the set of daemons, and the configuration version that all of them apply.
 //!
-//! The decisions are in [`trefoildyke_decide::members`]; this service gives them time, randomness
-//! and connections.
+//! The protocol is in [`trefoildyke_decide::members`]; this service supplies time, randomness and
+//! connections.
 
 mod command;
 mod handle;
--- a/crates/daemon/src/members/runner.rs
+++ b/crates/daemon/src/members/runner.rs
@@ -1,4 +1,4 @@
-//! The task that holds the membership.
+//! The task that runs the membership protocol.
 
 use std::{collections, net, sync, time};
 
@@ -16,16 +16,17 @@
     peers,
 };
 
-/// How often the membership is given the time.
-const TICK: time::Duration = time::Duration::from_millis(100);
+/// The interval between the ticks of the membership protocol.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// How long an exchange may take, a new connection included.
-const EXCHANGE: time::Duration = time::Duration::from_millis(1_500);
+/// The timeout of a digest exchange, including opening a connection.
+const EXCHANGE_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 
-/// How long a helper may take to say whether it reaches another member.
-const HELP: time::Duration = handle::PROBE.saturating_add(time::Duration::from_millis(800));
+/// The timeout of an indirect probe: the ping by the helper, and the call to the helper.
+const INDIRECT_PROBE_TIMEOUT: time::Duration =
+    handle::PROBE_TIMEOUT.saturating_add(time::Duration::from_millis(800));
 
-/// Holds the membership; run it on the control thread.
+/// The task that runs the membership protocol; run it on the control thread.
 #[must_use = "a handle does nothing until the task runs"]
 pub struct Runner {
     pub(super) clock: clock::Clock,
@@ -38,10 +39,12 @@
 }
 
 impl Runner {
-    /// Runs until every handle is gone; cancel it by dropping the future, which ends its calls.
+    /// Runs until every handle is dropped.
+    ///
+    /// Dropping the future cancels the task and its calls.
     pub async fn run(mut self, mut sources: Sources) {
         let mut calls = task::JoinSet::new();
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut readings = sources.hosts.as_ref().map(hosts::Handle::subscribe);
         self.set_seeds(&sources, &mut calls);
@@ -49,7 +52,7 @@
         loop {
             tokio::select! {
                 command = self.commands.recv() => match command {
-                    Some(command) => self.obey(command, &sources.peers, &mut calls),
+                    Some(command) => self.handle_command(command, &sources.peers, &mut calls),
                     None => return,
                 },
                 _ = tick.tick() => {
@@ -66,12 +69,12 @@
                     self.step(input, &sources.peers, &mut calls);
                 }
                 Ok(()) = sources.versions.changed() => self.set_versions(&mut sources, &mut calls),
-                true = read_again(&mut readings) => self.set_seeds(&sources, &mut calls),
+                true = hosts_changed(&mut readings) => self.set_seeds(&sources, &mut calls),
             }
         }
     }
 
-    fn obey(
+    fn handle_command(
         &mut self,
         command: command::Command,
         peers: &peers::Handle,
@@ -97,12 +100,12 @@
         for output in outputs {
             match (output, reply.take()) {
                 (members::Output::Answer(answer), Some(reply)) => {
-                    // The peer may have gone since.
+                    // The receiver is gone if the call of the peer was cancelled.
                     let _ = reply.send(answer);
                 }
                 (output, waiting) => {
                     reply = waiting;
-                    self.carry_out(output, peers, calls);
+                    self.handle_output(output, peers, calls);
                 }
             }
         }
@@ -116,12 +119,12 @@
         calls: &mut task::JoinSet<members::Input>,
     ) {
         for output in self.membership.step(self.clock.mono(), input) {
-            self.carry_out(output, peers, calls);
+            self.handle_output(output, peers, calls);
         }
         self.publish_contact();
     }
 
-    fn carry_out(
+    fn handle_output(
         &self,
         output: members::Output,
         peers: &peers::Handle,
@@ -138,7 +141,7 @@
                 self.newest.send_replace(Some(config::Newest { version, incarnation }));
             }
             members::Output::Changed => self.publish(),
-            // Answers go back to the peer where they are received.
+            // `receive` sends answers back to the peer.
             members::Output::Answer(_) => {}
         }
     }
@@ -179,8 +182,8 @@
     list.hosts.iter().filter(live).filter_map(|host| host.peer)
 }
 
-/// Waits for the next reading of the host list; never ends without a list.
-async fn read_again(readings: &mut Option<watch::Receiver<Option<hosts::Reading>>>) -> bool {
+/// Waits for the next reading of the host list; waits forever if there is no list.
+async fn hosts_changed(readings: &mut Option<watch::Receiver<Option<hosts::Reading>>>) -> bool {
     if let Some(readings) = readings
         && readings.changed().await.is_ok()
     {
@@ -194,10 +197,10 @@
     target: members::Target,
     digest: members::Digest,
 ) -> members::Input {
-    match tokio::time::timeout(EXCHANGE, send(&peers, target, &digest)).await {
+    match tokio::time::timeout(EXCHANGE_TIMEOUT, send(&peers, target, &digest)).await {
         Ok(Ok(digest)) => members::Input::Answered { target, digest },
         Ok(Err(error)) => {
-            log::debug!(target: "members", "no exchange with {target:?}: {error}");
+            log::debug!(target: "members", "digest exchange with {target:?} failed: {error}");
             members::Input::Failed(target)
         }
         Err(_) => members::Input::Failed(target),
@@ -214,8 +217,8 @@
         members::Target::Address(address) => peers.client_at(address).await?,
     };
     let payload = peer::Payload::encode(digest)?;
-    let answer = client.exchange(peer::within(EXCHANGE), payload).await;
-    let answer = answer.map_err(|error| unanswered(&error))??;
+    let answer = client.exchange(peer::within(EXCHANGE_TIMEOUT), payload).await;
+    let answer = answer.map_err(|error| unavailable(&error))??;
     Ok(answer.decode()?)
 }
 
@@ -226,12 +229,12 @@
 ) -> members::Input {
     let ask = async {
         let client = peers.client(via).await.ok()?;
-        client.probe(peer::within(HELP), target).await.ok()?.ok()
+        client.probe(peer::within(INDIRECT_PROBE_TIMEOUT), target).await.ok()?.ok()
     };
-    let reached = tokio::time::timeout(HELP, ask).await.unwrap_or_default();
+    let reached = tokio::time::timeout(INDIRECT_PROBE_TIMEOUT, ask).await.unwrap_or_default();
     members::Input::Probed { target, reached }
 }
 
-fn unanswered(error: &tarpc::client::RpcError) -> error::Error {
+fn unavailable(error: &tarpc::client::RpcError) -> error::Error {
     error::Error::new(error::ErrorKind::Unavailable, error.to_string())
 }
--- a/crates/daemon/src/members/sources.rs
+++ b/crates/daemon/src/members/sources.rs
@@ -1,4 +1,4 @@
-//! What the membership service needs from others.
+//! Inputs of the membership service.
 
 use tokio::sync::{mpsc, watch};
 use trefoildyke_decide::members;
@@ -6,15 +6,15 @@
 
 use crate::{hosts, peers};
 
-/// Connects the membership service to the others.
+/// The inputs that the membership service takes from other services.
 pub struct Sources {
     /// The connections to peers.
     pub peers: peers::Handle,
-    /// The peers whose connections failed.
+    /// Receives the peers whose connections failed.
     pub lost: mpsc::Receiver<id::Incarnation>,
-    /// How far this daemon has come.
+    /// The versions that this daemon has reached.
     pub versions: watch::Receiver<members::Versions>,
-    /// The platform's list of hosts, which names peer addresses; `None` without one.
+    /// The platform's host list, a source of peer addresses; `None` if there is no list.
     pub hosts: Option<hosts::Handle>,
     /// Peer addresses from the settings.
     pub seeds: Vec<std::net::SocketAddr>,
--- a/crates/daemon/src/orders/ended.rs
+++ b/crates/daemon/src/orders/ended.rs
@@ -1,17 +1,17 @@
-//! What is recorded of an order that ended.
+//! The record of an order that ended.
 
 use trefoildyke_decide::orders;
 
-/// Records how an order ended; created once and never changed.
+/// The record of how an order ended; written once and never changed.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ended {
-    /// The order.
+    /// The key of the order.
     pub key: orders::OrderKey,
-    /// The root version that accepted it.
+    /// The version of the configuration root that accepted the order.
     pub version: u64,
-    /// How it ended.
+    /// How the order ended.
     pub outcome: orders::Outcome,
-    /// The fencing token under which it was sent.
+    /// The fencing token with which the order was sent.
     pub fence: u64,
 }
--- a/crates/daemon/src/orders/handle.rs
+++ b/crates/daemon/src/orders/handle.rs
@@ -1,4 +1,4 @@
-//! How other services see what became of orders.
+//! The handle through which other services read how orders ended.
 
 use std::{collections, sync};
 
@@ -9,22 +9,22 @@
 
 use crate::orders::{self, keys};
 
-/// Tells how orders ended.
+/// Reads how orders ended.
 #[derive(Clone, Debug)]
 pub struct Handle {
     kv: platform::KvClient,
 }
 
-/// What the service learns from.
+/// The inputs of the service.
 #[derive(Clone, Debug)]
 pub struct Sources {
     /// The configuration in force.
     pub config: watch::Receiver<sync::Arc<config::Snapshot>>,
-    /// The daemons, one of which carries out orders.
+    /// The members, one of which carries out orders.
     pub view: watch::Receiver<sync::Arc<members::View>>,
 }
 
-/// Creates the service: the handle for the others and the service to run.
+/// Creates the handle for the other services, and the service; the caller runs the service.
 pub fn new(
     settings: orders::Settings,
     kv: platform::KvClient,
@@ -36,15 +36,15 @@
 }
 
 impl Handle {
-    /// Creates a handle that reads what any daemon's service has recorded.
+    /// Creates a handle that reads the records of every daemon's service.
     pub const fn new(kv: platform::KvClient) -> Self {
         Self { kv }
     }
 
-    /// Returns how an order ended, or `None` if it has not.
+    /// Returns how an order ended, or `None` if it has not ended.
     ///
-    /// Costs one read of the key-value service. Fails with kind `Unavailable` if that does not
-    /// answer.
+    /// Takes one read of the key-value service. Fails with kind `Unavailable` if the key-value service
+    /// does not answer.
     pub async fn ended(
         &self,
         key: &decisions::OrderKey,
@@ -53,9 +53,9 @@
         entry.as_ref().map(parse).transpose()
     }
 
-    /// Returns how every order ended that has.
+    /// Returns the records of all orders that have ended.
     ///
-    /// Costs one read of the key-value service for each 500 orders. Fails as [`Self::ended`] does.
+    /// Takes one read of the key-value service for each 500 orders. Fails as [`Self::ended`] does.
     pub async fn all_ended(
         &self,
     ) -> Result<collections::BTreeMap<decisions::OrderKey, orders::Ended>, error::Error> {
--- a/crates/daemon/src/orders/keys.rs
+++ b/crates/daemon/src/orders/keys.rs
@@ -1,14 +1,14 @@
-//! Where the service keeps what it must not lose.
+//! Keys in the key-value service.
 
 use trefoildyke_decide::orders;
 
 /// The key of the lease; its revision is the fencing token.
 pub(super) const HOLDER: &str = "orders/holder";
 
-/// The lowest version of the configuration with which anybody may carry out orders.
+/// The lowest version of the configuration with which a daemon may carry out orders.
 pub(super) const VERSION: &str = "orders/version";
 
-/// What the keys of ended orders start with.
+/// The prefix of the keys of ended orders.
 pub(super) const ENDED: &str = "orders/ended/";
 
 pub(super) fn ended(key: &orders::OrderKey) -> String {
--- a/crates/daemon/src/orders/lease.rs
+++ b/crates/daemon/src/orders/lease.rs
@@ -1,4 +1,4 @@
-//! The lease in the key-value service.
+//! The lease in the key-value service, and the records of ended orders.
 
 use std::{collections, time};
 
@@ -8,51 +8,53 @@
 
 use crate::orders::{Ended, LeaseClock, keys};
 
-/// The value of the lease's key.
+/// The value of the lease key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Holder {
+struct LeaseHolder {
     incarnation: id::Incarnation,
-    /// Tells this attempt to take the lease from every other.
+    /// Distinguishes this attempt to acquire the lease from every other attempt.
     nonce: id::Nonce,
 }
 
-/// A lease that was taken.
+/// An acquired lease.
 #[derive(Debug)]
-pub(super) struct Taken {
+pub(super) struct AcquiredLease {
     pub(super) lease: message::LeaseNumber,
     pub(super) token: u64,
     pub(super) begun: Timestamp,
-    /// The version that was confirmed.
+    /// The configuration version that was confirmed.
     pub(super) version: u64,
     /// Every order recorded as ended, with the revision of its record.
     pub(super) ended: collections::BTreeMap<orders::OrderKey, (Ended, u64)>,
 }
 
-/// Tries to take the lease and to confirm the version.
+/// Tries to acquire the lease and to confirm the configuration version.
 ///
-/// Returns `None` if somebody else has it, a higher version was confirmed before, or the service
-/// does not answer.
-pub(super) async fn take(
+/// Returns `None` if another daemon has the lease, a higher version was confirmed before, or the
+/// key-value service does not answer.
+pub(super) async fn acquire(
     kv: &platform::KvClient,
     clock: &LeaseClock,
     incarnation: id::Incarnation,
     version: u64,
     ttl: time::Duration,
-) -> Option<Taken> {
+) -> Option<AcquiredLease> {
     let begun = clock.now();
     let lease = kv.grant(ttl).await.ok()?;
-    let taken = take_key(kv, lease, incarnation, version).await;
-    if taken.is_none() {
-        // If this fails as well, the lease ends by itself.
+    let acquired = acquire_key(kv, lease, incarnation, version).await;
+    if acquired.is_none() {
+        // If this fails as well, the lease expires.
         let _ = kv.revoke(lease).await;
     }
-    let (token, ended) = taken?;
-    Some(Taken { lease, token, begun, version, ended })
+    let (token, ended) = acquired?;
+    Some(AcquiredLease { lease, token, begun, version, ended })
 }
 
-/// Writes the lease's key and, once it stands, reads what a holder must know.
-async fn take_key(
+/// Writes the lease key, confirms the version, and reads the records of ended orders.
+///
+/// Returns the fencing token and the records.
+async fn acquire_key(
     kv: &platform::KvClient,
     lease: message::LeaseNumber,
     incarnation: id::Incarnation,
@@ -65,17 +67,17 @@
     Some((token, read_ended(kv).await?))
 }
 
-/// How confirming a version ended.
+/// The result of confirming a configuration version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Confirmation {
     Confirmed,
     /// A higher version was confirmed before.
-    Old,
-    /// Another writer was first, or the service does not answer.
+    Superseded,
+    /// Another daemon wrote first, or the key-value service does not answer.
     Failed,
 }
 
-/// Records a version as the lowest with which anybody may carry out orders.
+/// Records a configuration version as the lowest with which a daemon may carry out orders.
 pub(super) async fn confirm(kv: &platform::KvClient, version: u64) -> Confirmation {
     let Ok(reply) = kv.get(keys::VERSION).await else { return Confirmation::Failed };
     let (current, revision) = match &reply.entry {
@@ -83,7 +85,7 @@
         None => (0, 0),
     };
     if current >= version {
-        return if current == version { Confirmation::Confirmed } else { Confirmation::Old };
+        return if current == version { Confirmation::Confirmed } else { Confirmation::Superseded };
     }
     let put = message::Put {
         key: keys::VERSION.to_owned(),
@@ -97,13 +99,13 @@
     }
 }
 
-/// Writes the lease's key and returns its revision; an unsure write is read back.
+/// Writes the lease key and returns its revision; reads the key back if the result is unsure.
 async fn put_holder(
     kv: &platform::KvClient,
     lease: message::LeaseNumber,
     incarnation: id::Incarnation,
 ) -> Option<u64> {
-    let holder = Holder { incarnation, nonce: id::Nonce(rand::random()) };
+    let holder = LeaseHolder { incarnation, nonce: id::Nonce(rand::random()) };
     let value = serde_json::to_string(&holder).ok()?;
     let put =
         message::Put { key: keys::HOLDER.to_owned(), value, expect: Some(0), lease: Some(lease) };
@@ -111,7 +113,7 @@
         Ok(written) => Some(written.revision),
         Err(platform::WriteError::Unsure(_)) => {
             let entry = kv.get(keys::HOLDER).await.ok()?.entry?;
-            let found = serde_json::from_str::<Holder>(&entry.value).ok()?;
+            let found = serde_json::from_str::<LeaseHolder>(&entry.value).ok()?;
             (found == holder).then_some(entry.revision)
         }
         Err(_) => None,
@@ -144,7 +146,7 @@
 }
 
 /// Records how an order ended.
-pub(super) async fn store(kv: &platform::KvClient, ended: &Ended) -> orders::Input {
+pub(super) async fn store_record(kv: &platform::KvClient, ended: &Ended) -> orders::Input {
     let key = ended.key.clone();
     let Ok(value) = serde_json::to_string(ended) else { return orders::Input::NotStored(key) };
     let put = message::Put { key: keys::ended(&key), value, expect: Some(0), lease: None };
@@ -154,9 +156,9 @@
     }
 }
 
-/// Deletes the record of an order that the configuration no longer names.
-pub(super) async fn forget(kv: &platform::KvClient, key: &orders::OrderKey, revision: u64) {
+/// Deletes the record of an order that the configuration no longer contains.
+pub(super) async fn delete_record(kv: &platform::KvClient, key: &orders::OrderKey, revision: u64) {
     let delete = message::Delete { key: keys::ended(key), expect: Some(revision) };
-    // A record that stays is deleted by a later holder.
+    // If this fails, a later holder of the lease deletes the record.
     let _ = kv.delete(&delete).await;
 }
--- a/crates/daemon/src/orders/lease_clock.rs
+++ b/crates/daemon/src/orders/lease_clock.rs
@@ -1,14 +1,14 @@
-//! The clock that ends a lease.
+//! The clock that decides when a lease ends.
 
 use std::{sync, sync::atomic, time};
 
 use trefoildyke_types::time::Timestamp;
 
-/// Counts the time since the daemon started. Clones show the same.
+/// A clock that counts from its creation and includes suspensions of the host. Clones show the same time.
 ///
-/// The monotonic clock does not count while the whole host is suspended, and the wall clock can be
-/// set back; this clock follows whichever ran further, and never goes back. If the wall clock is set
-/// forward, a lease is given up too early, which does no harm.
+/// The monotonic clock stops while the host is suspended, and the wall clock can be set back. So this
+/// clock shows the longer of the two elapsed times, and never goes back. If the wall clock is set
+/// forward, a lease is given up too early, which is safe.
 #[derive(Clone, Debug)]
 pub struct LeaseClock {
     monotonic: time::Instant,
@@ -17,7 +17,7 @@
 }
 
 impl LeaseClock {
-    /// Creates a clock that shows zero.
+    /// Creates a clock that starts at zero.
     pub fn start() -> Self {
         Self {
             monotonic: time::Instant::now(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the time.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> Timestamp {
         let wall = self.wall.elapsed().unwrap_or_default();
         let elapsed = self.monotonic.elapsed().max(wall).as_micros();
--- a/crates/daemon/src/orders/mod.rs
+++ b/crates/daemon/src/orders/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out orders to engines.
+//! The order service: carries out orders to engines.
 //!
-//! One daemon at a time does, under a lease in the key-value service whose revision is the fencing
-//! token. What is sent when is decided in `trefoildyke_decide::orders`.
+//! One daemon at a time carries out orders. It holds a lease in the key-value service; the revision
+//! of the lease key is the fencing token. `trefoildyke_decide::orders` decides what to send and when.
 
 mod ended;
 mod handle;
--- a/crates/daemon/src/orders/send.rs
+++ b/crates/daemon/src/orders/send.rs
@@ -1,4 +1,4 @@
-//! Sends one order.
+//! Sending an order to an engine.
 
 use std::{net, time};
 
@@ -8,7 +8,7 @@
 
 use crate::orders::LeaseClock;
 
-/// Sends an order once, unless it is `stop` or later when it can be written.
+/// Sends an order once, unless the time has reached `stop` when the connection is ready to write.
 pub(super) async fn send(
     clock: LeaseClock,
     address: Option<net::SocketAddr>,
@@ -19,16 +19,16 @@
 ) -> orders::Input {
     let key = order.key.clone();
     let Some(address) = address else {
-        let why = format!("there is no endpoint `{}`", order.endpoint);
-        return orders::Input::Sent { key, result: orders::SendResult::Refused(why) };
+        let reason = format!("there is no endpoint `{}`", order.endpoint);
+        return orders::Input::Sent { key, result: orders::SendResult::Refused(reason) };
     };
     let client = endpoint::EngineClient::new(address, endpoint::Limits::default());
     let message = message::Order { order: key.to_string(), fence, action: order.action };
     let sent = client.order(&message, wait, || clock.now() < stop).await;
-    orders::Input::Sent { key, result: judge(sent) }
+    orders::Input::Sent { key, result: send_result(sent) }
 }
 
-fn judge(sent: Result<(), endpoint::OrderError>) -> orders::SendResult {
+fn send_result(sent: Result<(), endpoint::OrderError>) -> orders::SendResult {
     match sent {
         Ok(()) => orders::SendResult::Done,
         Err(endpoint::OrderError::NotSent(_) | endpoint::OrderError::TooLate) => {
--- a/crates/daemon/src/orders/service.rs
+++ b/crates/daemon/src/orders/service.rs
@@ -1,4 +1,4 @@
-//! Runs the controller.
+//! The task that runs the order controller.
 
 use std::{collections, sync, time};
 
@@ -10,11 +10,11 @@
 
 use crate::orders::{self, lease, send};
 
-const TICK: time::Duration = time::Duration::from_millis(100);
-/// The role's name; rendezvous hashing gives it to one daemon.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// The name of the role; rendezvous hashing assigns the role to one daemon.
 const ROLE: &str = "orders";
 
-/// Carries out orders while this daemon has the lease; run it on the control thread.
+/// Carries out orders while this daemon holds the lease; run it on the control thread.
 #[must_use = "no order is carried out until the service runs"]
 pub struct Service {
     settings: orders::Settings,
@@ -24,13 +24,13 @@
     clock: orders::LeaseClock,
     controller: decisions::Controller,
     lease: Option<message::LeaseNumber>,
-    /// Calls in progress; they end with the service.
+    /// The calls in progress; dropping the service cancels them.
     calls: stream::FuturesUnordered<BoxFuture<'static, Event>>,
 }
 
-/// What ended.
+/// The result of a call.
 enum Event {
-    Taken(Option<lease::Taken>),
+    Acquired(Option<lease::AcquiredLease>),
     Input(decisions::Input),
 }
 
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Runs until the configuration's service has ended; cancel it by dropping the future.
+    /// Runs until the configuration service has ended; dropping the future cancels it.
     ///
-    /// An order that was written when the future is dropped may still be carried out; the next
-    /// holder waits for it.
+    /// An engine may still carry out an order that was written before the future is dropped; the next
+    /// holder of the lease waits for that.
     pub async fn run(mut self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         self.read_view();
         self.read_config();
@@ -70,7 +70,7 @@
                     Err(_) => return,
                 },
                 Ok(()) = self.sources.view.changed() => self.read_view(),
-                Some(event) = self.calls.next() => self.take_in(event),
+                Some(event) = self.calls.next() => self.handle_event(event),
                 _ = ticks.tick(), if is_busy => self.step(decisions::Input::Tick),
             }
         }
@@ -83,19 +83,19 @@
     }
 
     fn read_view(&mut self) {
-        let is_owner = is_owner(&self.sources.view.borrow_and_update(), self.incarnation);
-        self.step(decisions::Input::Eligible(is_owner));
+        let has_role = has_role(&self.sources.view.borrow_and_update(), self.incarnation);
+        self.step(decisions::Input::Eligible(has_role));
     }
 
-    fn take_in(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Input(input) => self.step(input),
-            Event::Taken(None) => self.step(decisions::Input::NotAcquired),
-            Event::Taken(Some(taken)) => {
-                log::info!("took the lease for orders with fencing token {}", taken.token);
-                self.lease = Some(taken.lease);
-                self.forget(&taken);
-                let lease::Taken { token, begun, version, ended, .. } = taken;
+            Event::Acquired(None) => self.step(decisions::Input::NotAcquired),
+            Event::Acquired(Some(acquired)) => {
+                log::info!("acquired the orders lease with fencing token {}", acquired.token);
+                self.lease = Some(acquired.lease);
+                self.delete_obsolete(&acquired);
+                let lease::AcquiredLease { token, begun, version, ended, .. } = acquired;
                 let ended = ended.into_keys().collect();
                 self.step(decisions::Input::Acquired { token, begun, version, ended });
             }
@@ -104,24 +104,24 @@
 
     fn step(&mut self, input: decisions::Input) {
         for action in self.controller.step(self.clock.now(), input) {
-            self.carry_out(action);
+            self.run_action(action);
         }
     }
 
-    fn carry_out(&mut self, action: decisions::Action) {
+    fn run_action(&mut self, action: decisions::Action) {
         let (kv, clock) = (self.kv.clone(), self.clock.clone());
         match action {
             decisions::Action::Acquire { version } => {
                 let (incarnation, ttl) = (self.incarnation, self.settings.params().ttl);
                 self.calls.push(Box::pin(async move {
-                    Event::Taken(lease::take(&kv, &clock, incarnation, version, ttl).await)
+                    Event::Acquired(lease::acquire(&kv, &clock, incarnation, version, ttl).await)
                 }));
             }
             decisions::Action::Confirm { version } => self.push(async move {
                 match lease::confirm(&kv, version).await {
                     lease::Confirmation::Confirmed => decisions::Input::Confirmed(version),
-                    // The lease is not worth much if somebody else works with a later version.
-                    lease::Confirmation::Old => decisions::Input::LeaseGone,
+                    // A daemon with an older version must not carry out orders, so it gives up the lease.
+                    lease::Confirmation::Superseded => decisions::Input::LeaseGone,
                     lease::Confirmation::Failed => decisions::Input::NotConfirmed,
                 }
             }),
@@ -132,7 +132,7 @@
             decisions::Action::Release => {
                 let Some(lease) = self.lease.take() else { return };
                 self.push(async move {
-                    // If this fails, the lease ends by itself.
+                    // If this fails, the lease expires.
                     let _ = kv.revoke(lease).await;
                     decisions::Input::Tick
                 });
@@ -147,7 +147,7 @@
                 log::info!("order {key} ended: {outcome:?}");
                 let version = self.version(&key);
                 let ended = orders::Ended { key, version, outcome, fence };
-                self.push(async move { lease::store(&kv, &ended).await });
+                self.push(async move { lease::store_record(&kv, &ended).await });
             }
         }
     }
@@ -156,20 +156,20 @@
         self.calls.push(Box::pin(async move { Event::Input(call.await) }));
     }
 
-    /// Deletes the records of orders that the configuration has dropped since.
-    fn forget(&self, taken: &lease::Taken) {
+    /// Deletes the records of ended orders that the configuration no longer contains.
+    fn delete_obsolete(&self, acquired: &lease::AcquiredLease) {
         let snapshot = self.sources.config.borrow();
-        // Deleting by another version than the confirmed one could delete what somebody wants.
-        if snapshot.version() != taken.version {
+        // With a version other than the confirmed one, this could delete records that are still needed.
+        if snapshot.version() != acquired.version {
             return;
         }
         let wanted: collections::BTreeSet<_> =
             orders_of(&snapshot).into_iter().map(|order| order.key).collect();
-        for (key, (ended, revision)) in &taken.ended {
-            if ended.version <= taken.version && !wanted.contains(key) {
+        for (key, (ended, revision)) in &acquired.ended {
+            if ended.version <= acquired.version && !wanted.contains(key) {
                 let (kv, key, revision) = (self.kv.clone(), key.clone(), *revision);
                 self.push(async move {
-                    lease::forget(&kv, &key, revision).await;
+                    lease::delete_record(&kv, &key, revision).await;
                     decisions::Input::Tick
                 });
             }
@@ -187,7 +187,7 @@
     }
 }
 
-fn is_owner(view: &members::View, incarnation: id::Incarnation) -> bool {
+fn has_role(view: &members::View, incarnation: id::Incarnation) -> bool {
     let owner = view.owner(xxh3::xxh3_64(ROLE.as_bytes()));
     owner.is_some_and(|owner| owner.incarnation == incarnation)
 }
--- a/crates/daemon/src/orders/settings.rs
+++ b/crates/daemon/src/orders/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the service.
+//! Settings of the order service.
 
 use std::time;
 
@@ -9,22 +9,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How long the lease lasts without renewal; at least twice `guard_ms + settle_ms`.
+    /// The time to live of the lease without renewal; at least twice `guard_ms + settle_ms`.
     pub ttl_ms: u64,
-    /// How long before the lease's end its holder stops.
+    /// How long before the end of the lease its holder stops sending.
     pub guard_ms: u64,
-    /// How long after it was written an order can still take effect; at least `order_ms`.
+    /// How long an order can still take effect after it was written; at least `order_ms`.
     pub settle_ms: u64,
-    /// How long a new holder waits before it orders an engine that does not check.
+    /// How long a new holder waits before it sends an order to an engine that does not check fencing
+    /// tokens.
     pub margin_ms: u64,
-    /// How long to wait after a failure before trying again; at least 1.
+    /// How long to wait before a retry after a failure; at least 1.
     pub retry_ms: u64,
-    /// How long an engine may take to carry out an order.
+    /// The timeout of an order at an engine.
     pub order_ms: u64,
 }
 
 impl Settings {
-    /// Fails with kind `Invalid` if the times do not fit together.
+    /// Checks the settings; fails with kind `Invalid` if the times are inconsistent.
     pub fn check(&self) -> Result<(), error::Error> {
         let invalid =
             |field, message| Err(error::Error::new(error::ErrorKind::Invalid, message).at(field));
--- a/crates/daemon/src/peers/client.rs
+++ b/crates/daemon/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! A connection in use.
+//! A client of one peer.
 
 use std::{ops, sync};
 
@@ -7,16 +7,16 @@
 
 use crate::peers::pool;
 
-/// Makes calls to one incarnation of a peer; its connection stays open while it is held.
+/// A client that calls one incarnation of a peer; the connection stays open while the client exists.
 ///
-/// Hold one for the length of a call, not for longer: after a failure the next one from
+/// Keep a client for the length of one call only: after a failure, the next client from
 /// [`super::Handle::client`] has a new connection.
 #[derive(Clone)]
 pub struct Client {
     pub(super) client: peer::PeerClient,
     pub(super) incarnation: id::Incarnation,
-    /// Counts as a use of the connection.
-    pub(super) _used: sync::Arc<pool::Used>,
+    /// Keeps the connection counted as in use.
+    pub(super) _last_use: sync::Arc<pool::LastUse>,
 }
 
 impl Client {
--- a/crates/daemon/src/peers/handle.rs
+++ b/crates/daemon/src/peers/handle.rs
@@ -1,4 +1,4 @@
-//! What the other services use to call peers.
+//! The handle through which other services call peers.
 
 use std::{net, sync};
 
@@ -9,13 +9,13 @@
 
 use crate::peers::{Client, Settings, pool};
 
-/// The most lost peers that wait to be told of; one more is noticed by the next digest instead.
-const LOST: usize = 256;
+/// Capacity of the queue of lost peers; the next digest exchange detects a loss that does not fit.
+const LOST_CAPACITY: usize = 256;
 
-/// Finds the address of an incarnation; `None` if it is not a living member.
-type Find = sync::Arc<dyn Fn(id::Incarnation) -> Option<net::SocketAddr> + Send + Sync>;
+/// Looks up the address of an incarnation; `None` if it is not a living member.
+type FindAddress = sync::Arc<dyn Fn(id::Incarnation) -> Option<net::SocketAddr> + Send + Sync>;
 
-/// Opens and shares connections to peers; published as `peers`.
+/// Opens and shares connections to peers; published in the registry as `peers`.
 #[derive(Clone)]
 pub struct Handle {
     shared: sync::Arc<Shared>,
@@ -26,14 +26,16 @@
     limits: peer::Limits,
     settings: Settings,
     scope: kernel::Scope,
-    find: Find,
+    find: FindAddress,
     lost: mpsc::Sender<id::Incarnation>,
     pool: pool::Pool,
 }
 
-/// Creates the service; the receiver tells which peers were lost, for the membership.
+/// Creates the service.
 ///
-/// The connections run in `scope`; `find` gives the address of an incarnation.
+/// The receiver yields the peers whose connections failed, for the membership.
+///
+/// The connections run in `scope`; `find` returns the address of an incarnation.
 pub fn new(
     identity: peer::Identity,
     limits: peer::Limits,
@@ -41,8 +43,8 @@
     scope: kernel::Scope,
     find: impl Fn(id::Incarnation) -> Option<net::SocketAddr> + Send + Sync + 'static,
 ) -> (Handle, mpsc::Receiver<id::Incarnation>) {
-    let (lost, receiver) = mpsc::channel(LOST);
-    let find: Find = sync::Arc::new(find);
+    let (lost, receiver) = mpsc::channel(LOST_CAPACITY);
+    let find: FindAddress = sync::Arc::new(find);
     let pool = pool::Pool::default();
     let shared = Shared { identity, limits, settings, scope, find, lost, pool };
     (Handle { shared: sync::Arc::new(shared) }, receiver)
@@ -54,16 +56,16 @@
     /// # Errors
     ///
     /// Fails with `NotFound` if the incarnation is not a living member, and with `Unavailable` or
-    /// `Unauthorized` if no connection can be opened; a peer that was just tried in vain is not
-    /// tried again at once.
+    /// `Unauthorized` if no connection can be opened. After a failure, calls fail at once until
+    /// [`Settings::pause`] has passed.
     pub async fn client(&self, incarnation: id::Incarnation) -> Result<Client, error::Error> {
         let slot = self.shared.pool.slot(incarnation);
         let mut slot = slot.lock().await;
         if let Some(open) = slot.open.as_ref().filter(|open| open.is_alive()) {
             return Ok(open.client());
         }
-        let address = self.find(incarnation)?;
-        self.check_pause(incarnation, &slot)?;
+        let address = self.find_address(incarnation)?;
+        self.check_backoff(incarnation, &slot)?;
         match self.open(incarnation, address).await {
             Ok(open) => {
                 let client = open.client();
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Returns a client of whoever answers at an address, for joining.
+    /// Returns a client of the daemon at an address, whatever its incarnation; used for joining.
     ///
     /// # Errors
     ///
@@ -90,17 +92,17 @@
         Ok(self.run(connection).client())
     }
 
-    /// Returns how many peers have a connection or had one of late.
+    /// Returns the number of peers with a slot in the connection pool.
     pub fn len(&self) -> usize {
         self.shared.pool.len()
     }
 
-    /// Returns whether there is no connection.
+    /// Returns whether the connection pool is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn check_pause(
+    fn check_backoff(
         &self,
         incarnation: id::Incarnation,
         slot: &pool::Slot,
@@ -114,7 +116,7 @@
         }
     }
 
-    fn find(&self, incarnation: id::Incarnation) -> Result<net::SocketAddr, error::Error> {
+    fn find_address(&self, incarnation: id::Incarnation) -> Result<net::SocketAddr, error::Error> {
         (self.shared.find)(incarnation).ok_or_else(|| {
             self.shared.pool.remove(incarnation);
             let message = format!("{incarnation} is not a living member");
@@ -127,9 +129,9 @@
         &self,
         incarnation: id::Incarnation,
         address: net::SocketAddr,
-    ) -> Result<pool::Open, error::Error> {
+    ) -> Result<pool::OpenConnection, error::Error> {
         let connected = self.connect(address, Some(incarnation)).await;
-        let connection = connected.inspect_err(|_| self.tell_lost(incarnation))?;
+        let connection = connected.inspect_err(|_| self.report_lost(incarnation))?;
         Ok(self.run(connection))
     }
 
@@ -142,14 +144,14 @@
         Ok(peer::connect(address, wanted, &shared.identity, shared.limits).await?)
     }
 
-    /// Runs a connection in the scope until it ends or nobody uses it.
-    fn run(&self, connection: peer::Connection) -> pool::Open {
+    /// Runs a connection in the scope until it ends or has been unused for [`Settings::keep`].
+    fn run(&self, connection: peer::Connection) -> pool::OpenConnection {
         let peer::Connection { client, incarnation, driver } = connection;
-        let (used, alive) = (sync::Arc::new(pool::Used::new()), sync::Arc::new(()));
-        let open = pool::Open {
+        let (last_use, alive) = (sync::Arc::new(pool::LastUse::new()), sync::Arc::new(()));
+        let open = pool::OpenConnection {
             client,
             incarnation,
-            used: sync::Arc::clone(&used),
+            last_use: sync::Arc::clone(&last_use),
             alive: sync::Arc::downgrade(&alive),
         };
         let this = self.clone();
@@ -157,31 +159,31 @@
             let _alive = alive;
             tokio::select! {
                 () = this.shared.scope.cancelled() => {}
-                () = this.unused(&used) => {}
+                () = this.wait_until_unused(&last_use) => {}
                 end = driver => {
                     if let Err(error) = end {
-                        log::info!(target: "peers", "connection to {incarnation} ended: {error}");
-                        this.tell_lost(incarnation);
+                        log::info!(target: "peers", "connection to peer {incarnation} failed: {error}");
+                        this.report_lost(incarnation);
                     }
                 }
             }
-            this.shared.pool.remove_ended(incarnation, &used);
+            this.shared.pool.remove_ended(incarnation, &last_use);
             Ok::<_, std::convert::Infallible>(())
         });
         open
     }
 
-    /// Waits until nobody has used the connection for long enough.
-    async fn unused(&self, used: &sync::Arc<pool::Used>) {
+    /// Waits until the connection has been unused for [`Settings::keep`].
+    async fn wait_until_unused(&self, last_use: &sync::Arc<pool::LastUse>) {
         let keep = self.shared.settings.keep;
-        // The pool and this task hold one count each.
-        while used.idle() < keep || sync::Arc::strong_count(used) > 2 {
+        // The pool and this task hold one reference each.
+        while last_use.idle() < keep || sync::Arc::strong_count(last_use) > 2 {
             time::sleep(keep / 2).await;
         }
     }
 
-    fn tell_lost(&self, incarnation: id::Incarnation) {
-        // A full queue means that many are lost already; digests notice the rest.
+    fn report_lost(&self, incarnation: id::Incarnation) {
+        // If the queue is full, the digest exchange detects the loss instead.
         let _ = self.shared.lost.try_send(incarnation);
     }
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to the other daemons: opened when needed, shared, and replaced when silent.
+//! Connections to the other daemons: opened on demand, shared, and replaced when they fail or go silent.
 
 mod client;
 mod handle;
--- a/crates/daemon/src/peers/pool.rs
+++ b/crates/daemon/src/peers/pool.rs
@@ -1,4 +1,4 @@
-//! The open connections by incarnation.
+//! The pool of open connections, keyed by incarnation.
 
 use std::{collections, sync};
 
@@ -8,64 +8,64 @@
 
 use crate::peers;
 
-/// Holds what is known of the connection to one peer.
+/// The state of the connection to one peer.
 #[derive(Default)]
 pub(super) struct Slot {
-    pub(super) open: Option<Open>,
-    /// When and why the last try to connect failed.
+    pub(super) open: Option<OpenConnection>,
+    /// The time and cause of the last failed attempt to connect.
     pub(super) failure: Option<(time::Instant, String)>,
 }
 
 /// An open connection.
 #[derive(Clone)]
-pub(super) struct Open {
+pub(super) struct OpenConnection {
     pub(super) client: peer::PeerClient,
     pub(super) incarnation: id::Incarnation,
-    /// Held by the pool, by the connection's task and by every [`peers::Client`].
-    pub(super) used: sync::Arc<Used>,
-    /// Dropped by the connection's task when the connection has ended.
+    /// Shared by the pool, the connection's task and every [`peers::Client`].
+    pub(super) last_use: sync::Arc<LastUse>,
+    /// Dangling once the connection's task has ended; the task holds the strong reference.
     pub(super) alive: sync::Weak<()>,
 }
 
-impl Open {
+impl OpenConnection {
     pub(super) fn is_alive(&self) -> bool {
         self.alive.strong_count() > 0
     }
 
     pub(super) fn client(&self) -> peers::Client {
-        self.used.touch();
+        self.last_use.touch();
         peers::Client {
             client: self.client.clone(),
             incarnation: self.incarnation,
-            _used: sync::Arc::clone(&self.used),
+            _last_use: sync::Arc::clone(&self.last_use),
         }
     }
 }
 
-/// Tells when a connection was last handed out.
-pub(super) struct Used {
-    last: sync::Mutex<time::Instant>,
+/// The time at which a connection was last handed out.
+pub(super) struct LastUse {
+    at: sync::Mutex<time::Instant>,
 }
 
-impl Used {
+impl LastUse {
     pub(super) fn new() -> Self {
-        Self { last: sync::Mutex::new(time::Instant::now()) }
+        Self { at: sync::Mutex::new(time::Instant::now()) }
     }
 
     fn touch(&self) {
-        *self.last.lock().unwrap_or_else(sync::PoisonError::into_inner) = time::Instant::now();
+        *self.at.lock().unwrap_or_else(sync::PoisonError::into_inner) = time::Instant::now();
     }
 
     /// Returns how long ago the connection was last handed out.
     pub(super) fn idle(&self) -> std::time::Duration {
-        self.last.lock().unwrap_or_else(sync::PoisonError::into_inner).elapsed()
+        self.at.lock().unwrap_or_else(sync::PoisonError::into_inner).elapsed()
     }
 }
 
-/// A slot whose lock is held while connecting, so that one connection is opened at a time.
+/// A slot whose lock is held while connecting, so that only one connection per peer is opened at a time.
 pub(super) type SharedSlot = sync::Arc<tokio::sync::Mutex<Slot>>;
 
-/// Holds one slot for each peer that has been called of late.
+/// The slots of the peers that were called recently.
 #[derive(Default)]
 pub(super) struct Pool {
     slots: sync::Mutex<collections::HashMap<id::Incarnation, SharedSlot>>,
@@ -76,18 +76,18 @@
         sync::Arc::clone(self.lock().entry(incarnation).or_default())
     }
 
-    /// Forgets a peer that is no member.
+    /// Removes the slot of a peer that is not a member.
     pub(super) fn remove(&self, incarnation: id::Incarnation) {
         self.lock().remove(&incarnation);
     }
 
-    /// Forgets a connection that has ended, but not one that has taken its place.
-    pub(super) fn remove_ended(&self, incarnation: id::Incarnation, used: &sync::Arc<Used>) {
+    /// Removes the slot of a connection that has ended, unless a newer connection has replaced it.
+    pub(super) fn remove_ended(&self, incarnation: id::Incarnation, last_use: &sync::Arc<LastUse>) {
         let mut slots = self.lock();
         let ended = slots.get(&incarnation).is_some_and(|slot| {
             let slot = slot.try_lock();
             slot.is_ok_and(|slot| {
-                slot.open.as_ref().is_some_and(|open| sync::Arc::ptr_eq(&open.used, used))
+                slot.open.as_ref().is_some_and(|open| sync::Arc::ptr_eq(&open.last_use, last_use))
             })
         });
         if ended {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns for how many peers there is a slot.
+    /// Returns the number of slots.
     pub(super) fn len(&self) -> usize {
         self.lock().len()
     }
--- a/crates/daemon/src/peers/settings.rs
+++ b/crates/daemon/src/peers/settings.rs
@@ -1,13 +1,13 @@
-//! How connections are kept.
+//! Settings of the connections to peers.
 
 use std::time;
 
-/// Holds how connections are kept.
+/// Settings of the connections to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long a connection that nobody uses stays open.
+    /// How long an unused connection stays open.
     pub keep: time::Duration,
-    /// How long a peer that could not be reached is not tried again.
+    /// How long to wait after a failed attempt to connect before the next one.
     pub pause: time::Duration,
 }
 
--- a/crates/daemon/src/schedule/actor.rs
+++ b/crates/daemon/src/schedule/actor.rs
@@ -14,9 +14,10 @@
     schedule::{self, Links, command, shares},
 };
 
-/// How long to wait before looking again whether the endpoints' standings are current.
-const LOOK_AGAIN: time::Duration = time::Duration::from_millis(10);
+/// How often to check whether the state of the endpoints is current again.
+const RECHECK_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
+/// Runs the scheduler of one shard.
 pub(super) struct Actor {
     pub(super) shard: decide::Shard,
     pub(super) name: endpoints::Shard,
@@ -28,39 +29,40 @@
     pub(super) watcher: endpoints::Handle,
     pub(super) config: watch::Receiver<sync::Arc<config::Snapshot>>,
     pub(super) shares: shares::Shares,
-    /// Who waits for an answer; two coordinators may ask for one request.
+    /// The askers that wait for an answer; two coordinators may ask for the same request.
     pub(super) waiting: collections::HashMap<id::RequestKey, Vec<command::Reply>>,
-    pub(super) wake: Option<Timestamp>,
-    /// Who has asked or reported and is not known to be lost.
+    pub(super) wake_at: Option<Timestamp>,
+    /// The coordinators that have asked or reported and are not known to be lost.
     pub(super) coordinators: collections::HashSet<id::Incarnation>,
 }
 
 impl Actor {
-    /// Runs until the shard belongs to another daemon and has no work left here.
+    /// Runs until another daemon schedules the shard and no work is left here.
     pub(super) async fn run(mut self) {
         self.read_config();
         let mut view = self.links.view.clone();
         let mut idle_since = None;
         loop {
-            let wake = self.wake.map(|at| self.clock.instant(at));
-            // Nothing is granted on standings that a pause of the process has made old.
-            let current = self.watcher.is_current();
+            let wake_at = self.wake_at.map(|at| self.clock.instant(at));
+            // No permit is granted while the state of the endpoints is outdated, such as after a pause of
+            // the process.
+            let is_current = self.watcher.is_current();
             tokio::select! {
                 biased;
                 Some(input) = self.feed.recv() => self.step(input),
                 Ok(()) = self.config.changed() => self.read_config(),
                 Ok(()) = view.changed() => {
-                    if !self.links.is_own(&self.name) {
+                    if !self.links.is_scheduled_here(&self.name) {
                         break;
                     }
-                    self.look_for_lost();
+                    self.release_lost();
                 }
-                () = sleep_until(wake), if current => self.tick(),
-                command = self.commands.recv(), if current => match command {
-                    Some(command) => self.take(command),
+                () = sleep_until(wake_at), if is_current => self.tick(),
+                command = self.commands.recv(), if is_current => match command {
+                    Some(command) => self.handle_command(command),
                     None => break,
                 },
-                () = time::sleep(LOOK_AGAIN), if !current => {}
+                () = time::sleep(RECHECK_INTERVAL), if !is_current => {}
                 () = time::sleep(self.idle) => {}
             }
             if !self.is_idle() {
@@ -73,18 +75,20 @@
 
     fn is_idle(&self) -> bool {
         let empty = self.waiting.is_empty() && self.shard.permitted() == 0;
-        empty && !self.links.is_own(&self.name)
+        empty && !self.links.is_scheduled_here(&self.name)
     }
 
     fn read_config(&mut self) {
         let snapshot = sync::Arc::clone(&self.config.borrow_and_update());
-        for share in self.shares.take_in(&snapshot) {
+        for share in self.shares.update(&snapshot) {
             self.step(decide::Input::Account(share));
         }
     }
 
-    /// Lets go of what lost coordinators were permitted; a leaving one still finishes its work.
-    fn look_for_lost(&mut self) {
+    /// Releases the permits of lost coordinators.
+    ///
+    /// A coordinator in state `Leaving` keeps its permits, because it still finishes its work.
+    fn release_lost(&mut self) {
         let view = sync::Arc::clone(&self.links.view.borrow());
         let is_lost = |coordinator: &id::Incarnation| {
             let member = view.find(*coordinator);
@@ -93,24 +97,24 @@
             })
         };
         for coordinator in self.coordinators.extract_if(is_lost).collect::<Vec<_>>() {
-            log::info!(target: "schedule", "coordinator {coordinator} is lost");
+            log::info!(target: "schedule", "coordinator {coordinator} is lost; releasing permits");
             self.step(decide::Input::CoordinatorLost(coordinator));
         }
     }
 
     fn tick(&mut self) {
-        self.wake = None;
+        self.wake_at = None;
         self.step(decide::Input::Tick);
     }
 
-    fn take(&mut self, command: command::Command) {
+    fn handle_command(&mut self, command: command::Command) {
         match command {
             command::Command::Ask(ask, reply) => {
                 self.coordinators.insert(ask.coordinator);
                 self.waiting.entry(ask.key.clone()).or_default().push(reply);
                 self.step(decide::Input::Ask(ask));
             }
-            command::Command::Dropped(key) => self.dropped(key),
+            command::Command::AskerGone(key) => self.asker_gone(key),
             command::Command::Entries(entries) => {
                 for entry in entries {
                     if let schedule::Entry::Adopt(adopted) = &entry {
@@ -122,7 +126,7 @@
         }
     }
 
-    fn dropped(&mut self, key: id::RequestKey) {
+    fn asker_gone(&mut self, key: id::RequestKey) {
         let report = match self.waiting.get_mut(&key) {
             None => decide::Report::HandBack { key },
             Some(replies) => {
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Carries an output out; returns what the scheduler must be told in turn.
+    /// Carries out an output; returns an input for the scheduler if the output leads to one.
     fn carry_out(&mut self, output: decide::Output) -> Option<decide::Input> {
         match output {
             decide::Output::Grant(permit) => self.grant(permit),
@@ -159,7 +163,7 @@
                 None
             }
             decide::Output::WakeAt(at) => {
-                self.wake = Some(at);
+                self.wake_at = Some(at);
                 None
             }
         }
@@ -173,15 +177,15 @@
         Some(decide::Input::Report(decide::Report::HandBack { key }))
     }
 
-    /// Answers everyone who waits for the request; says whether anyone did.
+    /// Answers every asker of the request; returns whether any asker received the answer.
     fn answer(
         &mut self,
         key: &id::RequestKey,
         answer: &Result<request::Permit, request::Refusal>,
     ) -> bool {
         let replies = self.waiting.remove(key).unwrap_or_default();
-        let taken = replies.into_iter().filter_map(|reply| reply.send(answer.clone()).ok());
-        taken.count() > 0
+        let received = replies.into_iter().filter_map(|reply| reply.send(answer.clone()).ok());
+        received.count() > 0
     }
 }
 
--- a/crates/daemon/src/schedule/command.rs
+++ b/crates/daemon/src/schedule/command.rs
@@ -1,4 +1,4 @@
-//! What a shard's actor is told to do.
+//! Commands to the actor of a shard.
 
 use tokio::sync::{mpsc, oneshot};
 use trefoildyke_types::{id, request};
@@ -7,39 +7,39 @@
 
 pub(super) type Reply = oneshot::Sender<Result<request::Permit, request::Refusal>>;
 
-/// Tells the actor of a shard to do something.
+/// A command to the actor of a shard.
 ///
-/// The channel has no bound of its own: each entry belongs to a request in progress, and their
-/// number is bounded at the coordinators.
+/// The channel is unbounded: each entry belongs to a request in progress, and the coordinators bound
+/// the number of those.
 pub(super) enum Command {
     Ask(request::Ask, Reply),
-    /// Nobody waits for an answer to this ask any more.
-    Dropped(id::RequestKey),
+    /// An asker no longer waits for the answer to its ask.
+    AskerGone(id::RequestKey),
     Entries(Vec<schedule::Entry>),
 }
 
-/// Tells the actor when an asker stops waiting.
-pub(super) struct Asker {
+/// A guard that tells the actor if the asker stops waiting before it is answered.
+pub(super) struct AskGuard {
     commands: mpsc::UnboundedSender<Command>,
     key: id::RequestKey,
-    waiting: bool,
+    armed: bool,
 }
 
-impl Asker {
+impl AskGuard {
     pub(super) const fn new(commands: mpsc::UnboundedSender<Command>, key: id::RequestKey) -> Self {
-        Self { commands, key, waiting: true }
+        Self { commands, key, armed: true }
     }
 
-    pub(super) fn answered(mut self) {
-        self.waiting = false;
+    pub(super) fn disarm(mut self) {
+        self.armed = false;
     }
 }
 
-impl Drop for Asker {
+impl Drop for AskGuard {
     fn drop(&mut self) {
-        if self.waiting {
-            // An actor that has ended has nobody waiting.
-            let _ = self.commands.send(Command::Dropped(self.key.clone()));
+        if self.armed {
+            // Sending fails only if the actor has ended; then no asker waits there.
+            let _ = self.commands.send(Command::AskerGone(self.key.clone()));
         }
     }
 }
--- a/crates/daemon/src/schedule/handle.rs
+++ b/crates/daemon/src/schedule/handle.rs
@@ -1,4 +1,4 @@
-//! How coordinators ask and report.
+//! The handle through which coordinators ask for permits and send reports.
 
 use std::{sync, time};
 
@@ -11,33 +11,33 @@
     schedule::{Links, Note, Settings, local, outbox},
 };
 
-/// The reason of a refusal that stands for a daemon that does not schedule the shard.
+/// The reason of a refusal by a daemon that does not schedule the shard.
 const NO_SCHEDULER: &str = "no_scheduler";
 
-/// Says that a scheduler gave no answer; another one is to be asked.
+/// The error of a scheduler that gave no answer; the caller asks the next scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the scheduler of the shard is lost; ask the one that took over")]
 pub struct Lost;
 
-/// Asks for permits and reports on what was permitted; published as `schedule`.
+/// Asks for permits and reports on permitted requests; published in the registry as `schedule`.
 #[derive(Clone)]
 pub struct Handle {
     pub(super) settings: Settings,
     pub(super) clock: clock::Clock,
     pub(super) links: Links,
-    pub(super) local: sync::Arc<local::Local>,
-    pub(super) notes: mpsc::UnboundedSender<outbox::Posted>,
+    pub(super) local: sync::Arc<local::LocalShards>,
+    pub(super) notes: mpsc::UnboundedSender<outbox::ShardNote>,
 }
 
 impl Handle {
     /// Asks the scheduler of a shard for a permit and waits for it until `deadline`.
     ///
-    /// A scheduler that is lost is replaced by the one that took over, which is asked again. To
-    /// give up, drop the future: the scheduler is told.
+    /// If the scheduler is lost, this asks the one that takes over. Dropping the future gives up and
+    /// tells the scheduler so.
     ///
     /// # Errors
     ///
-    /// The refusal, if the request was shed or no scheduler answered until the deadline.
+    /// Returns the refusal if the request was shed or no scheduler answered before the deadline.
     pub async fn ask(
         &self,
         shard: &endpoints::Shard,
@@ -53,7 +53,7 @@
             let scheduler = self.links.scheduler(shard);
             let answer = tokio::select! {
                 answer = self.ask_once(scheduler, shard, ask.clone(), left) => answer,
-                () = self.links.moved(shard, scheduler) => continue,
+                () = self.links.scheduler_changed(shard, scheduler) => continue,
             };
             match answer {
                 Ok(answer) => return answer,
@@ -62,23 +62,23 @@
         }
     }
 
-    /// Reports on a request that was permitted; never waits.
+    /// Queues a report on a permitted request; never waits.
     pub fn report(&self, shard: &endpoints::Shard, note: Note) {
-        // While the daemon ends, nobody needs reports any more.
-        let _ = self.notes.send(outbox::Posted { shard: shard.clone(), note });
+        // Sending fails only while the daemon ends; reports are not needed then.
+        let _ = self.notes.send(outbox::ShardNote { shard: shard.clone(), note });
     }
 
-    /// Serves the calls of peers that concern schedulers.
+    /// Registers the methods that peers call for scheduling.
     pub fn serve_peers(&self, methods: &mut peer::Methods) {
-        let here = self.clone();
+        let handle = self.clone();
         methods.ask = peer::Methods::method(move |_, request| {
-            let here = here.clone();
-            async move { here.ask_for_peer(request).await }
+            let handle = handle.clone();
+            async move { handle.ask_for_peer(request).await }
         });
-        let here = self.clone();
+        let handle = self.clone();
         methods.report = peer::Methods::method(move |_, request| {
-            let here = here.clone();
-            async move { here.report_for_peer(&request) }
+            let handle = handle.clone();
+            async move { handle.report_for_peer(&request) }
         });
     }
 
@@ -99,7 +99,7 @@
             Ok(Err(refusal)) if refusal.reason == NO_SCHEDULER => Err(Lost),
             Ok(answer) => Ok(answer),
             Err(error) => {
-                log::info!(target: "schedule", "the scheduler {scheduler} did not answer: {error}");
+                log::info!(target: "schedule", "scheduler {scheduler} did not answer: {error}");
                 Err(Lost)
             }
         }
--- a/crates/daemon/src/schedule/links.rs
+++ b/crates/daemon/src/schedule/links.rs
@@ -1,4 +1,4 @@
-//! Who schedules a shard, and how the scheduler is reached.
+//! Finding the scheduler of a shard, and calling it.
 
 use std::{sync, time};
 
@@ -11,20 +11,20 @@
 
 use crate::endpoints;
 
-type Granted = Result<request::Permit, request::Refusal>;
+type PermitResult = Result<request::Permit, request::Refusal>;
 
-/// Calls [`peer::Peer::ask`] at a member, with a deadline; fails if no answer came.
+/// Calls [`peer::Peer::ask`] at a member, with a timeout; fails if no answer came.
 pub type AskCall = sync::Arc<
     dyn Fn(
             id::Incarnation,
             peer::AskRequest,
             time::Duration,
-        ) -> future::BoxFuture<'static, Result<Granted, error::Error>>
+        ) -> future::BoxFuture<'static, Result<PermitResult, error::Error>>
         + Send
         + Sync,
 >;
 
-/// Calls [`peer::Peer::report`] at a member, with a deadline.
+/// Calls [`peer::Peer::report`] at a member, with a timeout.
 pub type ReportCall = sync::Arc<
     dyn Fn(
             id::Incarnation,
@@ -35,12 +35,12 @@
         + Sync,
 >;
 
-/// Says who schedules a shard, and how the scheduler is reached.
+/// Finds the scheduler of a shard and calls it.
 #[derive(Clone)]
 pub struct Links {
-    /// This daemon.
+    /// The incarnation of this daemon.
     pub own: id::Incarnation,
-    /// The members as this daemon sees them.
+    /// The view of the members at this daemon.
     pub view: watch::Receiver<sync::Arc<members::View>>,
     /// Asks a member for a permit.
     pub ask: AskCall,
@@ -49,13 +49,17 @@
 }
 
 impl Links {
-    /// Returns the daemon that schedules the shard, as this daemon sees it.
+    /// Returns the daemon that schedules the shard in the current view.
     pub(super) fn scheduler(&self, shard: &endpoints::Shard) -> Option<id::Incarnation> {
         scheduler_in(&self.view.borrow(), shard)
     }
 
-    /// Waits until another daemon than `scheduler` schedules the shard.
-    pub(super) async fn moved(&self, shard: &endpoints::Shard, scheduler: Option<id::Incarnation>) {
+    /// Waits until a daemon other than `scheduler` schedules the shard.
+    pub(super) async fn scheduler_changed(
+        &self,
+        shard: &endpoints::Shard,
+        scheduler: Option<id::Incarnation>,
+    ) {
         let mut view = self.view.clone();
         let ended = view.wait_for(|view| scheduler_in(view, shard) != scheduler).await.is_err();
         if ended {
@@ -63,16 +67,16 @@
         }
     }
 
-    /// Returns whether this daemon schedules the shard, as it sees it itself.
-    pub(super) fn is_own(&self, shard: &endpoints::Shard) -> bool {
+    /// Returns whether this daemon schedules the shard in its current view.
+    pub(super) fn is_scheduled_here(&self, shard: &endpoints::Shard) -> bool {
         self.scheduler(shard) == Some(self.own)
     }
 }
 
 fn scheduler_in(view: &members::View, shard: &endpoints::Shard) -> Option<id::Incarnation> {
-    view.owner(role(shard)).map(|member| member.incarnation)
+    view.owner(role_key(shard)).map(|member| member.incarnation)
 }
 
-fn role(shard: &endpoints::Shard) -> u64 {
+fn role_key(shard: &endpoints::Shard) -> u64 {
     xxh3::xxh3_64_with_seed(shard.pool.as_str().as_bytes(), u64::from(shard.number))
 }
--- a/crates/daemon/src/schedule/local.rs
+++ b/crates/daemon/src/schedule/local.rs
@@ -1,4 +1,4 @@
-//! The shards that this daemon schedules.
+//! The schedulers of the shards that belong to this daemon.
 
 use std::{collections, convert, sync};
 
@@ -12,55 +12,56 @@
     schedule::{Entry, Links, Lost, Settings, actor, command, shares},
 };
 
-/// How many inputs of a shard's watcher may wait for its actor.
-const FEED: usize = 256;
+/// Capacity of the channel from a shard's watcher to its actor.
+const FEED_CAPACITY: usize = 256;
 
-type Commands = mpsc::UnboundedSender<command::Command>;
+type CommandSender = mpsc::UnboundedSender<command::Command>;
 
-/// Starts the actors of shards when they are first asked, and finds them.
-pub(super) struct Local {
+/// The actors of the shards that this daemon schedules; each one starts when its shard is first used.
+pub(super) struct LocalShards {
     pub(super) settings: Settings,
     pub(super) endpoints: endpoints::Settings,
     pub(super) clock: clock::Clock,
     pub(super) links: Links,
     pub(super) config: watch::Receiver<sync::Arc<config::Snapshot>>,
     pub(super) hosts: hosts::Handle,
-    /// The control thread.
+    /// The control thread, on which the actors run.
     pub(super) scope: kernel::Scope,
-    /// An actor that has ended leaves a closed channel behind, which is replaced when next asked.
-    pub(super) actors: sync::Mutex<collections::HashMap<endpoints::Shard, Commands>>,
+    /// The channels to the actors. When an actor ends, its closed channel stays until the next use of
+    /// the shard replaces it.
+    pub(super) actors: sync::Mutex<collections::HashMap<endpoints::Shard, CommandSender>>,
 }
 
-impl Local {
-    /// Asks the scheduler of a shard at this daemon and waits for its answer.
+impl LocalShards {
+    /// Asks the local scheduler of a shard for a permit and waits for its answer.
     ///
-    /// Fails if this daemon does not schedule the shard, or no longer.
+    /// Fails if this daemon does not schedule the shard, or stops scheduling it meanwhile.
     pub(super) async fn ask(
         &self,
         shard: &endpoints::Shard,
         ask: request::Ask,
     ) -> Result<Result<request::Permit, request::Refusal>, Lost> {
-        if !self.links.is_own(shard) {
+        if !self.links.is_scheduled_here(shard) {
             return Err(Lost);
         }
         let commands = self.commands(shard);
-        let asker = command::Asker::new(commands.clone(), ask.key.clone());
+        let guard = command::AskGuard::new(commands.clone(), ask.key.clone());
         let (reply, answer) = oneshot::channel();
         commands.send(command::Command::Ask(ask, reply)).map_err(|_| Lost)?;
         let answer = answer.await.map_err(|_| Lost)?;
-        asker.answered();
+        guard.disarm();
         Ok(answer)
     }
 
-    /// Passes a batch on to the scheduler of a shard at this daemon.
+    /// Passes a batch of reports to the local scheduler of a shard.
     pub(super) fn report(&self, shard: &endpoints::Shard, entries: Vec<Entry>) -> Result<(), Lost> {
-        if !self.links.is_own(shard) {
+        if !self.links.is_scheduled_here(shard) {
             return Err(Lost);
         }
         self.commands(shard).send(command::Command::Entries(entries)).map_err(|_| Lost)
     }
 
-    fn commands(&self, shard: &endpoints::Shard) -> Commands {
+    fn commands(&self, shard: &endpoints::Shard) -> CommandSender {
         let mut actors = self.actors.lock().unwrap_or_else(sync::PoisonError::into_inner);
         if let Some(commands) = actors.get(shard)
             && !commands.is_closed()
@@ -72,9 +73,9 @@
         commands
     }
 
-    fn start(&self, shard: &endpoints::Shard) -> Commands {
+    fn start(&self, shard: &endpoints::Shard) -> CommandSender {
         let (commands, received) = mpsc::unbounded_channel();
-        let (feed, fed) = mpsc::channel(FEED);
+        let (feed, feed_receiver) = mpsc::channel(FEED_CAPACITY);
         let (handle, watcher) = endpoints::new(
             self.endpoints,
             shard.clone(),
@@ -90,16 +91,16 @@
             links: self.links.clone(),
             idle: self.settings.idle(),
             commands: received,
-            feed: fed,
+            feed: feed_receiver,
             watcher: handle,
             config: self.config.clone(),
             shares: shares::Shares::default(),
             waiting: collections::HashMap::new(),
-            wake: None,
+            wake_at: None,
             coordinators: collections::HashSet::new(),
         };
         let token = self.scope.token().clone();
-        log::info!(target: "schedule", "scheduling {}/{}", shard.pool, shard.number);
+        log::info!(target: "schedule", "starting to schedule shard {}/{}", shard.pool, shard.number);
         self.scope.spawn("schedule", async move {
             tokio::select! {
                 () = token.cancelled() => {}
--- a/crates/daemon/src/schedule/mod.rs
+++ b/crates/daemon/src/schedule/mod.rs
@@ -1,8 +1,9 @@
-//! The schedule service: permits for pool shards, wherever their schedulers are.
+//! The schedule service: permits for pool shards, from local or remote schedulers.
 //!
-//! One daemon schedules each pool shard, found by rendezvous hashing over the members. A
-//! [`Handle`] asks it, here or at a peer, and asks the new one when it is lost. What runs is
-//! reported in small batches, and all of it again to a scheduler that did not permit it.
+//! Rendezvous hashing over the members picks the daemon that schedules a pool shard. A [`Handle`]
+//! asks that daemon, locally or over a peer connection, and asks its successor if it is lost.
+//! Reports on running requests go to the scheduler in small batches; a new scheduler is sent all
+//! running requests.
 
 mod actor;
 mod command;
--- a/crates/daemon/src/schedule/note.rs
+++ b/crates/daemon/src/schedule/note.rs
@@ -1,39 +1,39 @@
-//! What coordinators tell of requests that were permitted.
+//! Notes of coordinators on permitted requests.
 
 use trefoildyke_decide::schedule;
 use trefoildyke_types::{id, request};
 
-/// Tells how a permitted request goes on.
+/// An event of a permitted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// It was dispatched.
+    /// The request was dispatched.
     Started {
         /// What was asked for.
         ask: request::Ask,
         /// The permit that was used.
         permit: request::Permit,
     },
-    /// It was dispatched by another daemon, and this one now follows it at the endpoint.
+    /// The request was dispatched by another daemon, and this one now follows it at the endpoint.
     TakenOver {
         /// What was asked for.
         ask: request::Ask,
-        /// Where it runs.
+        /// The endpoint that runs the request.
         endpoint: id::EndpointName,
     },
-    /// So many tokens have come.
+    /// More tokens of the answer have arrived.
     Tokens {
         /// The request.
         key: id::RequestKey,
-        /// All tokens so far.
+        /// The number of tokens so far.
         tokens: u32,
     },
-    /// It left the endpoint.
+    /// The request has ended at the endpoint.
     Finished {
         /// The request.
         key: id::RequestKey,
-        /// All tokens of the answer.
+        /// The number of tokens of the answer.
         tokens: u32,
-        /// How it ended.
+        /// How the request ended.
         outcome: schedule::Outcome,
     },
     /// The permit was not used and will not be.
@@ -43,7 +43,7 @@
     },
 }
 
-/// One entry of a batch that goes to a scheduler.
+/// An entry of a batch of reports to a scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
--- a/crates/daemon/src/schedule/outbox.rs
+++ b/crates/daemon/src/schedule/outbox.rs
@@ -1,4 +1,4 @@
-//! Reports on their way to the schedulers.
+//! The queue of reports to the schedulers.
 
 use std::{collections, sync};
 
@@ -12,90 +12,93 @@
     schedule::{Entry, Links, Lost, Note, Settings, local},
 };
 
-/// A note and the shard that it concerns.
-pub(super) struct Posted {
+/// A note with its shard.
+pub(super) struct ShardNote {
     pub(super) shard: endpoints::Shard,
     pub(super) note: Note,
 }
 
-/// What one shard's scheduler is still to be told.
+/// The reports that the scheduler of one shard has not received yet.
 #[derive(Default)]
-struct Box {
-    /// The scheduler that was reported to last.
+struct ShardQueue {
+    /// The scheduler that received the last reports.
     scheduler: Option<id::Incarnation>,
-    /// Whether that scheduler has every report up to now but the pending ones.
+    /// Whether that scheduler has received every report except the pending ones.
     synced: bool,
-    /// Everything dispatched here that has not ended.
+    /// The requests that this daemon dispatched or took over and that have not ended.
     running: collections::HashMap<id::RequestKey, decide::Adopted>,
-    /// Requests with tokens that were not reported yet.
-    moved: collections::HashSet<id::RequestKey>,
+    /// The requests with tokens that were not reported yet.
+    unreported: collections::HashSet<id::RequestKey>,
     pending: Vec<Entry>,
-    /// What each former scheduler believes to run here; it may become the scheduler again, after a
-    /// freeze with all it knew, and would keep the places of what has ended for good.
-    believed: collections::BTreeMap<id::Incarnation, Vec<id::RequestKey>>,
+    /// The requests that each former scheduler counts as running here.
+    ///
+    /// A former scheduler that was frozen may become the scheduler again with its old state. Without
+    /// reports on the requests that ended meanwhile, it would hold their slots forever.
+    former: collections::BTreeMap<id::Incarnation, Vec<id::RequestKey>>,
 }
 
-/// How many former schedulers are remembered; the oldest incarnations go first.
-const FORMER: usize = 4;
+/// The most former schedulers to remember; the oldest incarnations are dropped first.
+const MAX_FORMER: usize = 4;
 
 /// Collects notes and sends them in batches; runs on the control thread.
 pub(super) struct Outbox {
     pub(super) settings: Settings,
     pub(super) links: Links,
-    pub(super) local: sync::Arc<local::Local>,
-    pub(super) notes: mpsc::UnboundedReceiver<Posted>,
+    pub(super) local: sync::Arc<local::LocalShards>,
+    pub(super) notes: mpsc::UnboundedReceiver<ShardNote>,
 }
 
 impl Outbox {
     pub(super) async fn run(mut self) {
-        let mut boxes: collections::HashMap<endpoints::Shard, Box> = collections::HashMap::new();
+        let mut queues: collections::HashMap<endpoints::Shard, ShardQueue> =
+            collections::HashMap::new();
         let mut view = self.links.view.clone();
         let mut progress = time::interval(self.settings.progress());
         progress.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 posted = self.notes.recv() => match posted {
-                    Some(posted) => self.collect(posted, &mut boxes).await,
+                    Some(posted) => self.collect(posted, &mut queues).await,
                     None => return,
                 },
                 Ok(()) = view.changed() => {}
-                _ = progress.tick() => boxes.values_mut().for_each(Box::add_progress),
+                _ = progress.tick() => queues.values_mut().for_each(ShardQueue::add_progress),
             }
-            for (shard, notes) in &mut boxes {
-                self.send(shard, notes).await;
+            for (shard, queue) in &mut queues {
+                self.send(shard, queue).await;
             }
-            boxes.retain(|_, notes| !notes.is_empty());
+            queues.retain(|_, queue| !queue.is_empty());
         }
     }
 
-    /// Takes in a note and those that follow within the batch time.
+    /// Queues a note and all notes that follow within the batch time.
     async fn collect(
         &mut self,
-        posted: Posted,
-        boxes: &mut collections::HashMap<endpoints::Shard, Box>,
+        posted: ShardNote,
+        queues: &mut collections::HashMap<endpoints::Shard, ShardQueue>,
     ) {
         let end = time::Instant::now() + self.settings.batch();
-        boxes.entry(posted.shard).or_default().take_in(posted.note);
+        queues.entry(posted.shard).or_default().add_note(posted.note);
         while let Ok(Some(posted)) = time::timeout_at(end, self.notes.recv()).await {
-            boxes.entry(posted.shard).or_default().take_in(posted.note);
+            queues.entry(posted.shard).or_default().add_note(posted.note);
         }
     }
 
-    async fn send(&self, shard: &endpoints::Shard, notes: &mut Box) {
+    async fn send(&self, shard: &endpoints::Shard, queue: &mut ShardQueue) {
         let Some(scheduler) = self.links.scheduler(shard) else { return };
-        notes.address(scheduler);
-        if notes.pending.is_empty() {
+        queue.prepare_for(scheduler);
+        if queue.pending.is_empty() {
             return;
         }
-        let entries = std::mem::take(&mut notes.pending);
+        let entries = std::mem::take(&mut queue.pending);
         let sent = if scheduler == self.links.own {
             self.local.report(shard, entries.clone())
         } else {
             self.send_to_peer(scheduler, shard, &entries).await
         };
         if sent.is_err() {
-            notes.synced = false;
-            notes.pending = entries.into_iter().filter(is_end).collect();
+            queue.synced = false;
+            queue.pending = entries.into_iter().filter(is_final).collect();
         }
     }
 
@@ -113,8 +116,8 @@
     }
 }
 
-impl Box {
-    fn take_in(&mut self, note: Note) {
+impl ShardQueue {
+    fn add_note(&mut self, note: Note) {
         match note {
             Note::Started { ask, permit } => {
                 let key = ask.key.clone();
@@ -135,10 +138,10 @@
                 self.running.insert(adopted.ask.key.clone(), adopted.clone());
                 self.pending.push(Entry::Adopt(adopted));
             }
-            Note::Tokens { key, tokens } => self.tokens(key, tokens),
+            Note::Tokens { key, tokens } => self.add_tokens(key, tokens),
             Note::Finished { key, tokens, outcome } => {
                 self.running.remove(&key);
-                self.moved.remove(&key);
+                self.unreported.remove(&key);
                 let report = decide::Report::Finished { key, tokens, outcome };
                 self.pending.push(Entry::Report(report));
             }
@@ -148,7 +151,7 @@
         }
     }
 
-    fn tokens(&mut self, key: id::RequestKey, tokens: u32) {
+    fn add_tokens(&mut self, key: id::RequestKey, tokens: u32) {
         let Some(adopted) = self.running.get_mut(&key) else { return };
         let first = adopted.tokens == 0 && tokens > 0;
         adopted.tokens = tokens;
@@ -156,11 +159,11 @@
             let report = decide::Report::FirstToken { key: key.clone() };
             self.pending.push(Entry::Report(report));
         }
-        self.moved.insert(key);
+        self.unreported.insert(key);
     }
 
     fn add_progress(&mut self) {
-        for key in std::mem::take(&mut self.moved) {
+        for key in std::mem::take(&mut self.unreported) {
             if let Some(adopted) = self.running.get(&key) {
                 let report = decide::Report::Progress { key, tokens: adopted.tokens };
                 self.pending.push(Entry::Report(report));
@@ -169,53 +172,54 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.running.is_empty() && self.pending.is_empty() && self.believed.is_empty()
+        self.running.is_empty() && self.pending.is_empty() && self.former.is_empty()
     }
 
-    /// Remembers what the present scheduler believes; the next one knows nothing of it.
-    fn leave(&mut self) {
-        let ends = self.pending.drain(..).filter(is_end);
+    /// Records the requests that the current scheduler counts as running, before another one replaces it.
+    fn record_former(&mut self) {
+        let ends = self.pending.drain(..).filter(is_final);
         let ended = ends.filter_map(|entry| match entry {
             Entry::Report(report) => Some(report.key().clone()),
             Entry::Adopt(_) => None,
         });
         let keys: Vec<_> = self.running.keys().cloned().chain(ended).collect();
-        if let Some(former) = self.scheduler.filter(|_| !keys.is_empty()) {
-            self.believed.insert(former, keys);
+        if let Some(scheduler) = self.scheduler.filter(|_| !keys.is_empty()) {
+            self.former.insert(scheduler, keys);
         }
-        while self.believed.len() > FORMER {
-            self.believed.pop_first();
+        while self.former.len() > MAX_FORMER {
+            self.former.pop_first();
         }
     }
 
-    /// Returns the ends of what a former scheduler, which is asked again, believes to run.
-    fn ended_meanwhile(&mut self, scheduler: id::Incarnation) -> Vec<Entry> {
-        let keys = self.believed.remove(&scheduler).unwrap_or_default();
+    /// Returns reports on the ended requests that a returning former scheduler counts as running.
+    fn ended_reports(&mut self, scheduler: id::Incarnation) -> Vec<Entry> {
+        let keys = self.former.remove(&scheduler).unwrap_or_default();
         let ended = keys.into_iter().filter(|key| !self.running.contains_key(key));
         let report =
             |key| decide::Report::Finished { key, tokens: 0, outcome: decide::Outcome::Cancelled };
         ended.map(|key| Entry::Report(report(key))).collect()
     }
 
-    /// Prepares the pending entries for the scheduler; one that lacks reports learns of all that
-    /// runs.
-    fn address(&mut self, scheduler: id::Incarnation) {
+    /// Prepares the pending entries for the scheduler.
+    ///
+    /// A scheduler that has missed reports is sent all running requests.
+    fn prepare_for(&mut self, scheduler: id::Incarnation) {
         if self.scheduler != Some(scheduler) {
-            self.leave();
+            self.record_former();
             self.scheduler = Some(scheduler);
             self.synced = false;
-            self.pending = self.ended_meanwhile(scheduler);
+            self.pending = self.ended_reports(scheduler);
         }
         if !self.synced {
-            self.pending.retain(is_end);
+            self.pending.retain(is_final);
             self.pending.extend(self.running.values().cloned().map(Entry::Adopt));
             self.synced = true;
         }
     }
 }
 
-/// Returns whether the entry must not be lost.
-fn is_end(entry: &Entry) -> bool {
+/// Returns whether the entry ends a request; such an entry must not be lost.
+fn is_final(entry: &Entry) -> bool {
     let Entry::Report(report) = entry else { return false };
     matches!(report, decide::Report::Finished { .. } | decide::Report::HandBack { .. })
 }
--- a/crates/daemon/src/schedule/service.rs
+++ b/crates/daemon/src/schedule/service.rs
@@ -1,4 +1,4 @@
-//! The parts of the schedule service that its owner runs.
+//! Creating and running the schedule service.
 
 use std::{collections, sync};
 
@@ -11,23 +11,23 @@
     schedule::{Handle, Links, Settings, local, outbox},
 };
 
-/// Holds what the schedule service builds on.
+/// The inputs of the schedule service.
 pub struct Sources {
-    /// The clock of the decisions.
+    /// The clock that the schedulers use.
     pub clock: clock::Clock,
     /// How schedulers are found and reached.
     pub links: Links,
     /// The configuration.
     pub config: watch::Receiver<sync::Arc<config::Snapshot>>,
-    /// The platform's list.
+    /// The platform's host list.
     pub hosts: hosts::Handle,
-    /// Settings of the watch over endpoints.
+    /// Settings of the endpoint watchers.
     pub endpoints: endpoints::Settings,
-    /// The control thread, on which shards are scheduled.
+    /// The control thread, on which the schedulers run.
     pub scope: kernel::Scope,
 }
 
-/// Sends reports; run it on the control thread.
+/// The task that sends reports to the schedulers; run it on the control thread.
 #[must_use = "nothing is reported until the service runs"]
 pub struct Service {
     outbox: outbox::Outbox,
@@ -35,7 +35,7 @@
 
 /// Creates the service and its handle.
 pub fn create(settings: Settings, sources: Sources) -> (Handle, Service) {
-    let local = sync::Arc::new(local::Local {
+    let local = sync::Arc::new(local::LocalShards {
         settings: settings.clone(),
         endpoints: sources.endpoints,
         clock: sources.clock,
@@ -45,19 +45,19 @@
         scope: sources.scope,
         actors: sync::Mutex::new(collections::HashMap::new()),
     });
-    let (notes, posted) = mpsc::unbounded_channel();
+    let (notes, notes_receiver) = mpsc::unbounded_channel();
     let outbox = outbox::Outbox {
         settings: settings.clone(),
         links: sources.links.clone(),
         local: sync::Arc::clone(&local),
-        notes: posted,
+        notes: notes_receiver,
     };
     let handle = Handle { settings, clock: sources.clock, links: sources.links, local, notes };
     (handle, Service { outbox })
 }
 
 impl Service {
-    /// Runs until every handle is gone; cancel it by dropping the future.
+    /// Runs until every handle is dropped; dropping the future cancels it.
     pub async fn run(self) {
         self.outbox.run().await;
     }
--- a/crates/daemon/src/schedule/settings.rs
+++ b/crates/daemon/src/schedule/settings.rs
@@ -4,7 +4,7 @@
 
 use trefoildyke_decide::schedule;
 
-/// Holds the settings of the schedule service.
+/// Settings of the schedule service.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
@@ -12,13 +12,14 @@
     pub batch_ms: u64,
     /// How often the progress of each request is reported, in milliseconds; at least `batch_ms`.
     pub progress_ms: u64,
-    /// How long to wait before a lost scheduler is asked again, in milliseconds; at least 1.
+    /// How long to wait before asking again after a scheduler was lost, in milliseconds; at least 1.
     pub retry_ms: u64,
-    /// How long a call with reports may take, in milliseconds.
+    /// The timeout of a call that sends reports, in milliseconds.
     pub report_ms: u64,
-    /// How long a shard that went to another daemon stays here without work, in milliseconds.
+    /// How long the actor of a shard that moved to another daemon stays without work before it ends, in
+    /// milliseconds.
     pub idle_ms: u64,
-    /// The decisions.
+    /// Parameters of the scheduling policy.
     pub policy: schedule::Params,
 }
 
--- a/crates/daemon/src/schedule/shares.rs
+++ b/crates/daemon/src/schedule/shares.rs
@@ -1,25 +1,25 @@
-//! Client accounts' shares as the scheduler was told them.
+//! The shares of client accounts that a scheduler knows.
 
 use std::collections;
 
 use trefoildyke_decide::{config, schedule};
 use trefoildyke_types::{id, resource};
 
-/// Remembers what the scheduler was told, so that it is told changes only.
+/// The shares that were sent to the scheduler; only changes are sent again.
 #[derive(Default)]
 pub(super) struct Shares {
-    told: collections::HashMap<id::AccountName, schedule::AccountShare>,
+    sent: collections::HashMap<id::AccountName, schedule::AccountShare>,
 }
 
 impl Shares {
-    /// Returns what has changed.
-    pub(super) fn take_in(&mut self, snapshot: &config::Snapshot) -> Vec<schedule::AccountShare> {
+    /// Returns the shares that differ from those sent before, and records them as sent.
+    pub(super) fn update(&mut self, snapshot: &config::Snapshot) -> Vec<schedule::AccountShare> {
         let accounts = snapshot.of_kind(resource::Kind::ClientAccount);
         let shares = accounts.filter_map(|resource| share(resource));
         let mut changed = Vec::new();
         for share in shares {
-            if self.told.get(&share.account) != Some(&share) {
-                self.told.insert(share.account.clone(), share.clone());
+            if self.sent.get(&share.account) != Some(&share) {
+                self.sent.insert(share.account.clone(), share.clone());
                 changed.push(share);
             }
         }
