--- a/crates/daemon/tests/testsuite/config/follow.rs
+++ b/crates/daemon/tests/testsuite/config/follow.rs
@@ -1,4 +1,4 @@
-//! Following the key-value service and the peers.
+//! Tests of how nodes follow the key-value service and their peers.
 
 use testbed::switch;
 use trefoildyke_decide::config::{self, storage};
@@ -7,7 +7,7 @@
 
 use crate::config::nodes::{Nodes, deadline, reaches, settings, tier};
 
-/// Overwrites the root behind the nodes' backs.
+/// Overwrites the configuration root directly in the key-value service.
 async fn overwrite(nodes: &Nodes, value: &str) {
     let client = platform::KvClient::new(platform::KvSettings::new(nodes.kv.address()));
     let put = message::Put {
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn only_the_chosen_nodes_watch() {
+async fn only_the_nodes_with_the_role_watch() {
     let mut nodes = Nodes::new(settings()).await;
     let all: Vec<_> = (0..6).map(|_| nodes.start()).collect();
     for version in 0..5 {
@@ -29,14 +29,14 @@
             reaches(node, version + 1).await;
         }
     }
-    // One watch of the one chosen node for each change, and one for each node that held the role
-    // while the others joined.
+    // The watching node makes one watch call for each change. While nodes join, each of them may have
+    // the role for a while and make one more.
     let watches = nodes.kv.stats().watches;
     assert!(watches <= 5 + 6 + 1, "{watches} watches");
 }
 
 #[tokio::test]
-async fn another_node_takes_the_watch_of_a_dead_one() {
+async fn another_node_watches_after_the_watcher_dies() {
     let mut nodes = Nodes::new(settings()).await;
     let mut all: Vec<_> = (0..3).map(|_| nodes.start()).collect();
     all[0].handle.write(&tier(0, 1, 0)).await.unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_falls_back_is_written_forward_and_nobody_goes_back() {
+async fn a_store_that_reverts_is_overwritten_and_no_node_reverts() {
     let mut nodes = Nodes::new(settings()).await;
     let all: Vec<_> = (0..2).map(|_| nodes.start()).collect();
     all[0].handle.write(&tier(0, 1, 0)).await.unwrap();
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn a_broken_root_changes_nothing_in_force() {
+async fn an_invalid_root_does_not_change_the_configuration_in_force() {
     let mut nodes = Nodes::new(settings()).await;
     let node = nodes.start();
     node.handle.write(&tier(0, 1, 0)).await.unwrap();
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn old_chunks_are_deleted_and_the_rest_reads_back() {
+async fn old_chunks_are_deleted_and_the_rest_can_be_read() {
     let mut nodes = Nodes::new(settings()).await;
     let node = nodes.start();
     let mut folds = std::collections::BTreeSet::new();
--- a/crates/daemon/tests/testsuite/config/mod.rs
+++ b/crates/daemon/tests/testsuite/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration service, several in one process around one key-value stand-in.
+//! Several configuration services in one process, with one simulated key-value service.
 
 mod follow;
 mod nodes;
--- a/crates/daemon/tests/testsuite/config/nodes.rs
+++ b/crates/daemon/tests/testsuite/config/nodes.rs
@@ -1,4 +1,4 @@
-//! Configuration services that know each other.
+//! Configuration services that are peers of each other.
 
 use std::{collections, sync, time};
 
@@ -10,19 +10,19 @@
 use trefoildyke_types::{error, id, resource};
 use trefoildyke_wire::{peer, platform};
 
-/// Bounds each wait; far above what is expected, for a busy machine.
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// The time limit of each wait; much longer than expected, to allow for a busy machine.
+const WAIT_LIMIT: time::Duration = time::Duration::from_secs(30);
 
 type Handles = sync::Arc<sync::Mutex<collections::BTreeMap<id::Incarnation, service::Handle>>>;
 
-/// One configuration service.
+/// A node with one configuration service.
 pub(crate) struct Node {
     pub(crate) handle: service::Handle,
     incarnation: id::Incarnation,
     _tasks: task::JoinSet<()>,
 }
 
-/// Nodes that reach each other by direct calls, and their key-value service.
+/// Nodes that call each other directly, and their simulated key-value service.
 pub(crate) struct Nodes {
     pub(crate) kv: kv::Running,
     settings: service::Settings,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Starts a node; peers announce their versions to each other at once.
+    /// Starts a node; the nodes announce their versions to each other.
     pub(crate) fn start(&mut self) -> Node {
         self.start_from(None)
     }
@@ -69,7 +69,7 @@
         Node { handle, incarnation, _tasks: tasks }
     }
 
-    /// Ends a node as a crash does.
+    /// Removes a node, as if it had crashed.
     pub(crate) fn kill(&self, node: &Node) {
         self.handles.lock().unwrap().remove(&node.incarnation);
         self.view.send_modify(|view| {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Tells one node the highest version of the others, as heartbeats do.
+/// Announces the highest version of the other nodes to one node, as heartbeats do.
 async fn announce_highest(
     handles: Handles,
     own: id::Incarnation,
@@ -132,14 +132,14 @@
     })
 }
 
-/// Waits until the node has the version in force.
+/// Waits until the node has a version in force.
 pub(crate) async fn reaches(node: &Node, version: u64) {
     let mut snapshots = node.handle.subscribe();
     let reached = snapshots.wait_for(|snapshot| snapshot.version() >= version);
-    tokio::time::timeout(LIMIT, reached).await.expect("in time").unwrap();
+    tokio::time::timeout(WAIT_LIMIT, reached).await.expect("in time").unwrap();
 }
 
-/// Returns a change that puts a tier over the version that stands.
+/// Returns a change that puts a tier in place of its current `resource_version`.
 pub(crate) fn tier(rank: u8, deadline_ms: u64, resource_version: u64) -> config::ChangeSet {
     config::ChangeSet::put(resource::Resource {
         name: format!("t{rank}"),
@@ -150,13 +150,13 @@
     })
 }
 
-/// Returns the deadline of a tier as a node has it in force.
+/// Returns the deadline of a tier in the configuration in force on a node.
 pub(crate) fn deadline(node: &Node, rank: u8) -> Option<u64> {
     let name = id::TierName::new(&format!("t{rank}"));
     node.handle.snapshot().tier(&name).map(|tier| tier.deadline_ms)
 }
 
-/// Settings whose waits suit tests.
+/// Returns settings with short waits for tests.
 pub(crate) fn settings() -> service::Settings {
     service::Settings { watchers: 1, retry_ms: 50, poll_ms: 50, ..service::Settings::default() }
 }
--- a/crates/daemon/tests/testsuite/config/write.rs
+++ b/crates/daemon/tests/testsuite/config/write.rs
@@ -1,4 +1,4 @@
-//! Changes, racing operators and lost answers.
+//! Tests of writes: changes, racing operators and lost answers.
 
 use testbed::switch;
 use trefoildyke_types::error;
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_settled_before_anything_is_said() {
+async fn a_lost_answer_is_resolved_before_the_write_returns() {
     let mut nodes = Nodes::new(settings()).await;
     let node = nodes.start();
     for round in 0..5 {
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_and_a_race_at_once_name_the_winner_truly() {
+async fn a_lost_answer_during_a_race_reports_the_right_winner() {
     let mut nodes = Nodes::new(settings()).await;
     let (one, two) = (nodes.start(), nodes.start());
     one.handle.write(&tier(0, 1, 0)).await.unwrap();
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_read_that_fails_now_and_then_does_not_refuse_the_change() {
+async fn occasional_read_failures_do_not_reject_the_change() {
     let mut nodes = Nodes::new(settings()).await;
     let node = nodes.start();
     node.handle.write(&tier(0, 1, 0)).await.unwrap();
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_before_the_write_is_a_refusal() {
+async fn an_outage_before_the_write_is_unavailable() {
     let mut nodes = Nodes::new(settings()).await;
     let node = nodes.start();
     nodes.mode(switch::ModeKind::Down);
@@ -112,20 +112,20 @@
 }
 
 #[tokio::test]
-async fn an_outage_that_swallows_the_answer_is_unsure_and_then_visible() {
+async fn an_outage_that_loses_the_answer_is_unsure_and_the_change_visible_later() {
     let settings = service::Settings { write_ms: 700, ..settings() };
     let mut nodes = Nodes::new(settings).await;
     let node = nodes.start();
     nodes.mode(switch::ModeKind::LoseAnswers);
     let set = tier(0, 5, 0);
     let write = node.handle.write(&set);
-    let cut = async {
+    let start_outage = async {
         while nodes.kv.entries("config/root").is_empty() {
             tokio::task::yield_now().await;
         }
         nodes.mode(switch::ModeKind::Down);
     };
-    let (outcome, ()) = tokio::join!(write, cut);
+    let (outcome, ()) = tokio::join!(write, start_outage);
     if let Err(error) = outcome {
         assert_eq!(error.kind, error::ErrorKind::Unsure);
     }
--- a/crates/daemon/tests/testsuite/endpoints.rs
+++ b/crates/daemon/tests/testsuite/endpoints.rs
@@ -1,4 +1,4 @@
-//! The watch over a shard's endpoints, against stand-ins.
+//! The endpoint watcher of a shard, against simulated engines and a simulated platform.
 
 use std::{net, sync, time::Duration};
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// A watch over one shard with everything that it learns from.
-struct Bench {
+/// A running watcher of one shard, with its simulated inputs.
+struct Fixture {
     platform: platform::Running,
     config: watch::Sender<sync::Arc<config::Snapshot>>,
     handle: endpoints::Handle,
@@ -63,8 +63,8 @@
     tasks: task::JoinSet<()>,
 }
 
-impl Bench {
-    /// Starts a watch over the endpoints, whose hosts are all live.
+impl Fixture {
+    /// Starts a watcher of the endpoints; all their hosts are live.
     async fn start(resources: Vec<resource::Resource>) -> Self {
         let names = resources.iter().map(|resource| resource.name.clone());
         let live = names.map(|name| host(&name, message::HostState::Live)).collect();
@@ -91,12 +91,15 @@
         Self { platform, config, handle, feed, tasks }
     }
 
-    /// Waits for an input that suits.
-    async fn wait_for(&mut self, suits: impl Fn(&schedule::Input) -> bool) -> schedule::Input {
+    /// Waits for an input that matches.
+    async fn wait_for(
+        &mut self,
+        matches_input: impl Fn(&schedule::Input) -> bool,
+    ) -> schedule::Input {
         let next = async {
             loop {
                 let input = self.feed.recv().await.unwrap();
-                if suits(&input) {
+                if matches_input(&input) {
                     return input;
                 }
             }
@@ -105,13 +108,13 @@
     }
 
     async fn wait_up(&mut self, name: &str) {
-        let suits = |input: &schedule::Input| matches!(input, schedule::Input::EndpointUp(info) if info.endpoint.as_str() == name);
-        self.wait_for(suits).await;
+        let matches_input = |input: &schedule::Input| matches!(input, schedule::Input::EndpointUp(info) if info.endpoint.as_str() == name);
+        self.wait_for(matches_input).await;
     }
 
     async fn wait_leaving(&mut self, name: &str) {
-        let suits = |input: &schedule::Input| matches!(input, schedule::Input::EndpointLeaving(found) if found.as_str() == name);
-        self.wait_for(suits).await;
+        let matches_input = |input: &schedule::Input| matches!(input, schedule::Input::EndpointLeaving(found) if found.as_str() == name);
+        self.wait_for(matches_input).await;
     }
 
     async fn stop(mut self) {
@@ -127,8 +130,8 @@
     settings.params.event_lag = Duration::ZERO;
     settings.params.event_loss = 0;
     let running = engine::serve(settings).await.unwrap();
-    let mut bench = Bench::start(vec![pool(), endpoint("e1", running.address())]).await;
-    bench.wait_up("e1").await;
+    let mut fixture = Fixture::start(vec![pool(), endpoint("e1", running.address())]).await;
+    fixture.wait_up("e1").await;
     let client = endpoint::EngineClient::new(running.address(), endpoint::Limits::default());
     let generate = endpoint::message::Generate {
         id: "0192d3a4-0000-7000-8000-000000000001".parse().unwrap(),
@@ -139,10 +142,10 @@
         input: String::new(),
     };
     let _stream = client.start(&generate).await.unwrap();
-    // The two come in either order.
+    // The load report and the cache events arrive in either order.
     let (mut blocks, mut was_running) = (Vec::new(), false);
     while blocks.is_empty() || !was_running {
-        match bench.wait_for(|_| true).await {
+        match fixture.wait_for(|_| true).await {
             schedule::Input::Load { report, .. } => was_running |= report.running == 1,
             schedule::Input::Cache { events, .. } => {
                 blocks = events.iter().map(|event| event.block).collect();
@@ -151,70 +154,70 @@
         }
     }
     assert_eq!(blocks, [7, 8]);
-    bench.stop().await;
+    fixture.stop().await;
     running.stop().await;
 }
 
 #[tokio::test]
-async fn a_probe_brings_a_report_at_once() {
+async fn a_probe_yields_a_load_report() {
     let running = engine::serve(engine::Settings::default()).await.unwrap();
-    let mut bench = Bench::start(vec![pool(), endpoint("e1", running.address())]).await;
-    bench.wait_up("e1").await;
-    bench.handle.probe(&"e1".into());
-    bench.wait_for(|input| matches!(input, schedule::Input::Load { .. })).await;
-    bench.stop().await;
+    let mut fixture = Fixture::start(vec![pool(), endpoint("e1", running.address())]).await;
+    fixture.wait_up("e1").await;
+    fixture.handle.probe(&"e1".into());
+    fixture.wait_for(|input| matches!(input, schedule::Input::Load { .. })).await;
+    fixture.stop().await;
     running.stop().await;
 }
 
 #[tokio::test]
-async fn a_leaving_host_is_told_within_the_bound() {
+async fn a_leaving_host_is_reported_within_five_seconds() {
     let engines = [
         engine::serve(engine::Settings::default()).await.unwrap(),
         engine::serve(engine::Settings::default()).await.unwrap(),
     ];
     let [first, second] = &engines;
     let resources = vec![pool(), endpoint("e1", first.address()), endpoint("e2", second.address())];
-    let mut bench = Bench::start(resources).await;
-    bench.wait_up("e1").await;
-    bench.wait_up("e2").await;
-    let since = tokio::time::Instant::now();
-    bench.platform.set_hosts(vec![
+    let mut fixture = Fixture::start(resources).await;
+    fixture.wait_up("e1").await;
+    fixture.wait_up("e2").await;
+    let started = tokio::time::Instant::now();
+    fixture.platform.set_hosts(vec![
         host("e1", message::HostState::Leaving),
         host("e2", message::HostState::Live),
     ]);
-    bench.wait_leaving("e1").await;
-    assert!(since.elapsed() < Duration::from_secs(5), "{:?}", since.elapsed());
-    bench.platform.set_hosts(vec![host("e1", message::HostState::Leaving)]);
-    bench.wait_leaving("e2").await;
-    bench.stop().await;
+    fixture.wait_leaving("e1").await;
+    assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
+    fixture.platform.set_hosts(vec![host("e1", message::HostState::Leaving)]);
+    fixture.wait_leaving("e2").await;
+    fixture.stop().await;
 }
 
 #[tokio::test]
-async fn a_silent_endpoint_gets_nothing_until_it_answers_again() {
+async fn a_silent_endpoint_leaves_until_it_answers_again() {
     let running = engine::serve(engine::Settings::default()).await.unwrap();
     let relay = relay::serve(running.address()).await.unwrap();
-    let mut bench = Bench::start(vec![pool(), endpoint("e1", relay.address())]).await;
-    bench.wait_up("e1").await;
-    // Only open connections go silent: new ones bring the endpoint's answers, so it stays.
-    bench.wait_for(|input| matches!(input, schedule::Input::Load { .. })).await;
+    let mut fixture = Fixture::start(vec![pool(), endpoint("e1", relay.address())]).await;
+    fixture.wait_up("e1").await;
+    // Only the open connections go silent. New ones work, so the endpoint stays available.
+    fixture.wait_for(|input| matches!(input, schedule::Input::Load { .. })).await;
     relay.silence_open();
-    bench.wait_for(|input| matches!(input, schedule::Input::Load { .. })).await;
+    fixture.wait_for(|input| matches!(input, schedule::Input::Load { .. })).await;
     relay.silence_all(relay::Direction::Down);
-    bench.wait_leaving("e1").await;
+    fixture.wait_leaving("e1").await;
     relay.restore();
-    bench.wait_up("e1").await;
-    bench.stop().await;
+    fixture.wait_up("e1").await;
+    fixture.stop().await;
     relay.stop().await;
     running.stop().await;
 }
 
 #[tokio::test]
-async fn a_deleted_endpoint_is_told_as_leaving() {
+async fn a_deleted_endpoint_is_reported_as_leaving() {
     let running = engine::serve(engine::Settings::default()).await.unwrap();
-    let mut bench = Bench::start(vec![pool(), endpoint("e1", running.address())]).await;
-    bench.wait_up("e1").await;
-    bench.config.send_replace(sync::Arc::new(config::Snapshot::of(2, vec![pool()])));
-    bench.wait_leaving("e1").await;
-    bench.stop().await;
+    let mut fixture = Fixture::start(vec![pool(), endpoint("e1", running.address())]).await;
+    fixture.wait_up("e1").await;
+    fixture.config.send_replace(sync::Arc::new(config::Snapshot::of(2, vec![pool()])));
+    fixture.wait_leaving("e1").await;
+    fixture.stop().await;
     running.stop().await;
 }
--- a/crates/daemon/tests/testsuite/examples/mod.rs
+++ b/crates/daemon/tests/testsuite/examples/mod.rs
@@ -1,4 +1,4 @@
-//! The configurations in `examples/` are valid and have the sizes of the brief.
+//! The configurations in `examples/` are valid and have the intended sizes.
 
 use std::{collections, path};
 
@@ -10,7 +10,7 @@
     path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(name)
 }
 
-/// Applies all resource files of a deployment as one change.
+/// Applies all resource files of a deployment in one change.
 fn applied(name: &str) -> config::Snapshot {
     let mut set = config::ChangeSet::default();
     for file in ["tiers.yaml", "accounts.yaml", "pools.yaml"] {
--- a/crates/daemon/tests/testsuite/intents/export.rs
+++ b/crates/daemon/tests/testsuite/intents/export.rs
@@ -1,15 +1,15 @@
-//! What the records cost can be scraped.
+//! The metrics of the intent service are exported.
 
 use testbed::switch;
 use trefoildyke_daemon::{intents, metrics};
 use trefoildyke_decide::coordinate::RecordOutcome;
 
-use crate::intents::nodes::{Belief, Nodes, key, patient, until};
+use crate::intents::nodes::{Nodes, OwnerChoice, key, long_timeouts, until};
 
 #[tokio::test]
-async fn counts_and_the_services_state_are_shown() {
-    let nodes = Nodes::new(intents::Settings { try_ms: 2_000, ..patient() }).await;
-    let node = nodes.start(1, Belief::Lowest);
+async fn counts_and_the_service_state_are_exported() {
+    let nodes = Nodes::new(intents::Settings { try_ms: 2_000, ..long_timeouts() }).await;
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let metrics = metrics::Handle::new().unwrap();
     node.handle.export(&metrics.meter());
     assert_eq!(node.record(&key(), 1).await, RecordOutcome::Created);
--- a/crates/daemon/tests/testsuite/intents/failures.rs
+++ b/crates/daemon/tests/testsuite/intents/failures.rs
@@ -1,4 +1,4 @@
-//! Lost answers in every position, outages, and owners that cannot be reached.
+//! Tests of lost answers at every step, outages, and unreachable owners.
 
 use std::time;
 
@@ -6,10 +6,11 @@
 use trefoildyke_daemon::intents;
 use trefoildyke_decide::coordinate::{LookUp, RecordOutcome, ServiceState};
 
-use crate::intents::nodes::{self, Belief, Nodes, Reach, key, until};
+use crate::intents::nodes::{self, Nodes, OwnerChoice, Reachability, key, until};
 
-/// Short enough to wait out, long enough that a busy machine does not make a failure of its own.
-fn quick() -> intents::Settings {
+/// Returns settings with a timeout that is short enough to wait for, but long enough not to expire on a
+/// busy machine.
+fn short_timeouts() -> intents::Settings {
     intents::Settings { try_ms: 2_000, ..Default::default() }
 }
 
@@ -18,11 +19,12 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_in_any_position_creates_the_record_once() {
-    // So small that parts are begun, continued and sealed within a few records.
-    let settings = intents::Settings { buckets: 1, window_ms: 4, part_bytes: 2048, ..quick() };
+async fn a_lost_answer_at_any_step_creates_the_record_once() {
+    // The parts are so small that they are started, continued and sealed within a few records.
+    let settings =
+        intents::Settings { buckets: 1, window_ms: 4, part_bytes: 2048, ..short_timeouts() };
     let nodes = Nodes::new(settings).await;
-    let node = nodes.start(1, Belief::Lowest);
+    let node = nodes.start(1, OwnerChoice::Lowest);
     assert_eq!(node.record(&key(), 0).await, RecordOutcome::Created);
     for nonce in 1..40 {
         nodes.kv.set_mode(mode(switch::ModeKind::LoseAnswers).calls(1));
@@ -39,19 +41,19 @@
 
 #[tokio::test]
 async fn a_lost_answer_when_the_layout_is_written_is_read_back() {
-    let nodes = Nodes::new(quick()).await;
+    let nodes = Nodes::new(short_timeouts()).await;
     nodes.kv.set_mode(mode(switch::ModeKind::LoseAnswers).calls(1));
-    let node = nodes.start(1, Belief::Lowest);
+    let node = nodes.start(1, OwnerChoice::Lowest);
     until("the layout is agreed", || node.handle.service_state() == ServiceState::Up).await;
     assert_eq!(node.record(&key(), 1).await, RecordOutcome::Created);
 }
 
 #[tokio::test]
 async fn all_answers_lost_is_unsure_until_the_service_answers_again() {
-    // One slot for all, so that the next record is written without a read before.
-    let settings = intents::Settings { buckets: 1, slice_ms: 1 << 40, ..quick() };
+    // One slot holds all records, so the next record is written without a preceding read.
+    let settings = intents::Settings { buckets: 1, slice_ms: 1 << 40, ..short_timeouts() };
     let nodes = Nodes::new(settings).await;
-    let node = nodes.start(1, Belief::Lowest);
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let key = key();
     assert_eq!(node.record(&nodes::key(), 0).await, RecordOutcome::Created);
     nodes.kv.set_mode(mode(switch::ModeKind::Silent));
@@ -62,9 +64,9 @@
 }
 
 #[tokio::test]
-async fn an_outage_is_unavailable_and_has_a_start() {
-    let nodes = Nodes::new(quick()).await;
-    let node = nodes.start(1, Belief::Lowest);
+async fn an_outage_is_unavailable_and_has_a_start_time() {
+    let nodes = Nodes::new(short_timeouts()).await;
+    let node = nodes.start(1, OwnerChoice::Lowest);
     assert_eq!(node.record(&key(), 0).await, RecordOutcome::Created);
     let before_ms = unix_ms();
     nodes.kv.set_mode(mode(switch::ModeKind::Down));
@@ -73,7 +75,7 @@
     assert_eq!(node.handle.look_up(&key).await, LookUp::Unavailable);
     let state = node.handle.service_state();
     let ServiceState::Down { since_ms } = state else { panic!("{state:?}") };
-    // The start is worked out from two clocks, each cut to milliseconds.
+    // The start is computed from two clocks, each truncated to milliseconds.
     assert!(since_ms + 2 >= before_ms && since_ms <= unix_ms(), "{before_ms} {since_ms}");
     nodes.kv.set_mode(mode(switch::ModeKind::Ok));
     until("the service is up again", || node.handle.service_state() == ServiceState::Up).await;
@@ -82,10 +84,10 @@
 
 #[tokio::test]
 async fn a_node_that_starts_in_an_outage_is_down_since_its_start() {
-    let nodes = Nodes::new(quick()).await;
+    let nodes = Nodes::new(short_timeouts()).await;
     nodes.kv.set_mode(mode(switch::ModeKind::Down));
     let before_ms = unix_ms();
-    let node = nodes.start(1, Belief::Lowest);
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let state = node.handle.service_state();
     let ServiceState::Down { since_ms } = state else { panic!("{state:?}") };
     assert!(since_ms + 2 >= before_ms);
@@ -97,40 +99,40 @@
 
 #[tokio::test]
 async fn a_node_that_is_cut_off_alone_writes_and_reads_through_a_peer() {
-    let nodes = Nodes::new(quick()).await;
-    let cut_off = nodes.start(1, Belief::Lowest);
-    let peer = nodes.start(2, Belief::Lowest);
+    let nodes = Nodes::new(short_timeouts()).await;
+    let cut_off = nodes.start(1, OwnerChoice::Lowest);
+    let peer = nodes.start(2, OwnerChoice::Lowest);
     assert_eq!(peer.record(&key(), 0).await, RecordOutcome::Created);
     nodes.kv.set_mode(mode(switch::ModeKind::Down).only(nodes::address(1)));
     let key = key();
     assert_eq!(cut_off.record(&key, 1).await, RecordOutcome::Created);
     assert_eq!(cut_off.handle.look_up(&key).await, LookUp::Found(cut_off.intent(1)));
-    // The next call of its own may fail at any moment and start the outage anew.
+    // The node's next direct call may fail at any moment and start the outage again.
     until("the peer counts", || cut_off.handle.service_state() == ServiceState::Up).await;
     assert_eq!(peer.record(&key, 2).await, RecordOutcome::Exists(cut_off.intent(1)));
-    // Its owner is cut off, so the peer commits itself.
+    // The owner is cut off, so the peer commits the record itself.
     assert_eq!(peer.record(&nodes::key(), 3).await, RecordOutcome::Created);
 }
 
 #[tokio::test]
 async fn a_node_that_starts_cut_off_writes_through_a_peer() {
-    let nodes = Nodes::new(quick()).await;
+    let nodes = Nodes::new(short_timeouts()).await;
     nodes.kv.set_mode(mode(switch::ModeKind::Down).only(nodes::address(2)));
-    let _peer = nodes.start(1, Belief::Lowest);
-    let cut_off = nodes.start(2, Belief::Lowest);
+    let _peer = nodes.start(1, OwnerChoice::Lowest);
+    let cut_off = nodes.start(2, OwnerChoice::Lowest);
     let key = key();
     assert_eq!(cut_off.record(&key, 1).await, RecordOutcome::Created);
     assert_eq!(cut_off.handle.look_up(&key).await, LookUp::Found(cut_off.intent(1)));
 }
 
 #[tokio::test]
-async fn without_its_owner_a_node_commits_itself() {
-    let nodes = Nodes::new(quick()).await;
-    let owner = nodes.start(1, Belief::Lowest);
-    let node = nodes.start(2, Belief::Lowest);
+async fn a_node_commits_itself_if_the_owner_is_unreachable() {
+    let nodes = Nodes::new(short_timeouts()).await;
+    let owner = nodes.start(1, OwnerChoice::Lowest);
+    let node = nodes.start(2, OwnerChoice::Lowest);
     assert_eq!(node.record(&key(), 0).await, RecordOutcome::Created);
     assert_eq!(node.handle.stats().rows, 0, "the owner has committed");
-    for (nonce, reach) in [(1, Reach::Closed), (2, Reach::AnswersLost)] {
+    for (nonce, reach) in [(1, Reachability::Closed), (2, Reachability::AnswersLost)] {
         nodes.set_reach(&owner, reach);
         let key = key();
         assert_eq!(node.record(&key, nonce).await, RecordOutcome::Created, "{reach:?}");
@@ -141,10 +143,10 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_stops_leaves_nothing_undecided() {
-    let nodes = Nodes::new(quick()).await;
-    let owner = nodes.start(1, Belief::Lowest);
-    let node = nodes.start(2, Belief::Lowest);
+async fn a_node_records_after_the_owner_stops() {
+    let nodes = Nodes::new(short_timeouts()).await;
+    let owner = nodes.start(1, OwnerChoice::Lowest);
+    let node = nodes.start(2, OwnerChoice::Lowest);
     assert_eq!(node.record(&key(), 0).await, RecordOutcome::Created);
     owner.stop().await;
     assert_eq!(node.record(&key(), 1).await, RecordOutcome::Created);
--- a/crates/daemon/tests/testsuite/intents/mod.rs
+++ b/crates/daemon/tests/testsuite/intents/mod.rs
@@ -1,4 +1,4 @@
-//! Records, several daemons in one process around one key-value stand-in.
+//! Intent records of several daemons in one process, with one simulated key-value service.
 
 mod export;
 mod failures;
--- a/crates/daemon/tests/testsuite/intents/nodes.rs
+++ b/crates/daemon/tests/testsuite/intents/nodes.rs
@@ -1,4 +1,4 @@
-//! Several daemons' records in one process.
+//! Several nodes with intent services in one process.
 
 use std::{collections, net, sync, time};
 
@@ -9,7 +9,7 @@
 use trefoildyke_types::{error, id, request};
 use trefoildyke_wire::{peer, platform};
 
-/// No wait of a test is longer.
+/// The time limit of each wait in a test.
 pub(super) const LONG: time::Duration = time::Duration::from_secs(30);
 
 type Members = sync::Arc<sync::Mutex<collections::BTreeMap<id::Incarnation, Member>>>;
@@ -17,30 +17,30 @@
 #[derive(Clone)]
 struct Member {
     methods: sync::Arc<peer::Methods>,
-    reach: Reach,
+    reach: Reachability,
 }
 
-/// Says how the other nodes reach a node.
+/// How the other nodes reach a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum Reachability {
     /// Calls are answered.
     Open,
     /// Calls cannot be sent.
     Closed,
-    /// Calls arrive and their answers are lost.
+    /// Calls arrive, but their answers are lost.
     AnswersLost,
 }
 
-/// Says whom a node believes the owner of each bucket.
+/// The node that a node considers the owner of every bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Belief {
+pub(super) enum OwnerChoice {
     /// The node with the lowest incarnation.
     Lowest,
-    /// Itself.
+    /// The node itself.
     Itself,
 }
 
-/// Holds one daemon's records.
+/// A node with one intent service.
 pub(super) struct Node {
     pub(super) own: id::Incarnation,
     pub(super) handle: intents::Handle,
@@ -48,7 +48,7 @@
     running: task::JoinHandle<()>,
 }
 
-/// Holds the key-value stand-in and what the nodes know of one another.
+/// The simulated key-value service, and the members that the nodes know.
 pub(super) struct Nodes {
     pub(super) kv: kv::Running,
     pub(super) settings: intents::Settings,
@@ -56,28 +56,28 @@
 }
 
 impl Nodes {
-    /// Starts the key-value stand-in with generous rates.
+    /// Starts the simulated key-value service with high rate limits.
     pub(super) async fn new(settings: intents::Settings) -> Self {
-        let generous = kv::Settings {
+        let high_rates = kv::Settings {
             writes_per_s: 100_000,
             reads_per_s: 100_000,
             delay: time::Duration::from_millis(1),
             ..kv::Settings::default()
         };
-        let kv = kv::serve(generous).await.unwrap();
+        let kv = kv::serve(high_rates).await.unwrap();
         Self { kv, settings, members: Members::default() }
     }
 
     /// Starts a node; node `number` calls the key-value service from its own address.
-    pub(super) fn start(&self, number: u8, belief: Belief) -> Node {
-        self.start_with(number, belief, self.settings)
+    pub(super) fn start(&self, number: u8, choice: OwnerChoice) -> Node {
+        self.start_with(number, choice, self.settings)
     }
 
-    /// Starts a node with settings of its own.
+    /// Starts a node with the given settings.
     pub(super) fn start_with(
         &self,
         number: u8,
-        belief: Belief,
+        choice: OwnerChoice,
         settings: intents::Settings,
     ) -> Node {
         let own = id::Incarnation::from_u64(u64::from(number));
@@ -86,11 +86,11 @@
             local: Some(address(number)),
             ..platform::KvSettings::new(self.kv.address())
         });
-        let route = self.route(own, belief);
+        let route = self.route(own, choice);
         let (handle, service) = intents::create(settings, route, client).unwrap();
         let mut methods = peer::Methods::default();
         handle.serve_peers(&mut methods);
-        let member = Member { methods: sync::Arc::new(methods), reach: Reach::Open };
+        let member = Member { methods: sync::Arc::new(methods), reach: Reachability::Open };
         self.members.lock().unwrap().insert(own, member);
         let token = tokio_sync::CancellationToken::new();
         let running = tokio::spawn(service.run(token.clone()));
@@ -98,16 +98,16 @@
     }
 
     /// Sets how the other nodes reach a node.
-    pub(super) fn set_reach(&self, node: &Node, reach: Reach) {
+    pub(super) fn set_reach(&self, node: &Node, reach: Reachability) {
         self.members.lock().unwrap().get_mut(&node.own).unwrap().reach = reach;
     }
 
-    fn route(&self, own: id::Incarnation, belief: Belief) -> intents::Route {
+    fn route(&self, own: id::Incarnation, choice: OwnerChoice) -> intents::Route {
         let members = self.members.clone();
         let owners = move |_, count| {
             let known = members.lock().unwrap();
             let mut owners: Vec<_> = known.keys().copied().collect();
-            if belief == Belief::Itself {
+            if choice == OwnerChoice::Itself {
                 owners.sort_by_key(|member| *member != own);
             }
             owners.truncate(count);
@@ -139,15 +139,15 @@
 }
 
 async fn deliver<T>(
-    reach: Reach,
+    reach: Reachability,
     timeout: time::Duration,
     call: impl Future<Output = Result<T, error::Error>>,
 ) -> Result<T, error::Error> {
     let lost = || error::Error::new(error::ErrorKind::Unsure, "no answer");
     match reach {
-        Reach::Open => tokio::time::timeout(timeout, call).await.map_err(|_| lost())?,
-        Reach::Closed => Err(closed()),
-        Reach::AnswersLost => {
+        Reachability::Open => tokio::time::timeout(timeout, call).await.map_err(|_| lost())?,
+        Reachability::Closed => Err(closed()),
+        Reachability::AnswersLost => {
             call.await?;
             Err(lost())
         }
@@ -164,7 +164,7 @@
 }
 
 impl Node {
-    /// Records with the node as coordinator and `nonce` as mark.
+    /// Records an intent with this node as coordinator and with `nonce`.
     pub(super) async fn record(
         &self,
         key: &id::RequestKey,
@@ -190,12 +190,12 @@
     }
 }
 
-/// Returns settings under which a busy machine makes no failure of its own.
-pub(super) fn patient() -> intents::Settings {
+/// Returns settings with a timeout long enough not to expire on a busy machine.
+pub(super) fn long_timeouts() -> intents::Settings {
     intents::Settings { try_ms: 15_000, ..intents::Settings::default() }
 }
 
-/// Returns the key of a request that is created now.
+/// Returns the key of a new request.
 pub(super) fn key() -> id::RequestKey {
     let id = id::RequestId::chosen(uuid::Uuid::now_v7());
     id::RequestKey { account: "cascadia".into(), id }
--- a/crates/daemon/tests/testsuite/intents/retention.rs
+++ b/crates/daemon/tests/testsuite/intents/retention.rs
@@ -1,24 +1,29 @@
-//! Old slots are deleted, and their identifiers are never taken for new ones.
+//! Old slots are deleted, and the identifiers in them are never accepted as new.
 
 use trefoildyke_daemon::intents;
 use trefoildyke_decide::coordinate::RecordOutcome;
 
-use crate::intents::nodes::{Belief, Nodes, key, patient, until};
+use crate::intents::nodes::{Nodes, OwnerChoice, key, long_timeouts, until};
 
 #[tokio::test]
 async fn an_identifier_whose_slot_was_deleted_is_not_created_again() {
-    let settings =
-        intents::Settings { slice_ms: 200, keep_ms: 2000, skew_ms: 100, buckets: 2, ..patient() };
+    let settings = intents::Settings {
+        slice_ms: 200,
+        keep_ms: 2000,
+        skew_ms: 100,
+        buckets: 2,
+        ..long_timeouts()
+    };
     let nodes = Nodes::new(settings).await;
-    let node = nodes.start(1, Belief::Lowest);
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let key = key();
     assert_eq!(node.record(&key, 1).await, RecordOutcome::Created);
     assert!(!nodes.kv.entries("intents/slots/").is_empty());
     until("the slot is deleted", || nodes.kv.entries("intents/slots/").is_empty()).await;
-    // This node may still know the record, which is as good.
+    // This node may still have the record in memory; then it returns the record.
     assert_ne!(node.record(&key, 2).await, RecordOutcome::Created);
-    // A node without any knowledge does not take it for new either.
-    let other = nodes.start(2, Belief::Itself);
+    // A node that has never seen the record does not accept the identifier as new either.
+    let other = nodes.start(2, OwnerChoice::Itself);
     assert_eq!(other.record(&key, 3).await, RecordOutcome::Unavailable);
     assert_eq!(nodes.kv.entries("intents/slots/"), []);
     assert!(node.handle.stats().deleted > 0);
--- a/crates/daemon/tests/testsuite/intents/settings.rs
+++ b/crates/daemon/tests/testsuite/intents/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked, and errors name the remedy.
+//! Tests of the checks of settings; the errors contain the remedy.
 
 use trefoildyke_daemon::intents;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn settings_that_do_not_fit_are_refused() {
+fn invalid_settings_are_rejected() {
     let default = intents::Settings::default();
     let errors = [
         intents::Settings { buckets: 0, ..default },
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn unknown_fields_are_refused() {
+fn unknown_fields_are_rejected() {
     let error = serde_yaml_ng::from_str::<intents::Settings>("bucket: 3").unwrap_err();
     assert!(error.to_string().contains("unknown field `bucket`"), "{error}");
 }
--- a/crates/daemon/tests/testsuite/intents/write.rs
+++ b/crates/daemon/tests/testsuite/intents/write.rs
@@ -1,4 +1,4 @@
-//! Records are created once, whoever writes and however many at once.
+//! A record is created exactly once, whichever nodes write it concurrently.
 
 use std::time;
 
@@ -7,34 +7,34 @@
 use trefoildyke_decide::coordinate::{LookUp, RecordOutcome, ServiceState};
 use trefoildyke_types::{id, request};
 
-use crate::intents::nodes::{Belief, Node, Nodes, key, patient};
+use crate::intents::nodes::{Node, Nodes, OwnerChoice, key, long_timeouts};
 
-/// Lets all nodes record all keys at once; returns how often each key was created.
+/// Makes all nodes record all keys concurrently; returns how often each key was created.
 async fn race(nodes: &[Node], keys: &[id::RequestKey]) -> Vec<usize> {
     let races = keys.iter().enumerate().map(|(number, key)| async move {
-        let tries = nodes.iter().map(|node| {
+        let attempts = nodes.iter().map(|node| {
             let nonce = node.own.as_u64() << 32 | number as u64;
             async move { (node.intent(nonce), node.record(key, nonce).await) }
         });
-        let tries = future::join_all(tries).await;
-        let standing = nodes[0].handle.look_up(key).await;
-        let LookUp::Found(standing) = standing else { panic!("{standing:?}") };
-        for (record, outcome) in &tries {
+        let attempts = future::join_all(attempts).await;
+        let stored = nodes[0].handle.look_up(key).await;
+        let LookUp::Found(stored) = stored else { panic!("{stored:?}") };
+        for (record, outcome) in &attempts {
             match outcome {
-                RecordOutcome::Created => assert_eq!(*record, standing),
-                RecordOutcome::Exists(record) => assert_eq!(*record, standing),
+                RecordOutcome::Created => assert_eq!(*record, stored),
+                RecordOutcome::Exists(record) => assert_eq!(*record, stored),
                 _ => panic!("{outcome:?} without a fault"),
             }
         }
-        tries.iter().filter(|(_, outcome)| *outcome == RecordOutcome::Created).count()
+        attempts.iter().filter(|(_, outcome)| *outcome == RecordOutcome::Created).count()
     });
     future::join_all(races).await
 }
 
 #[tokio::test]
 async fn many_nodes_create_each_record_once_through_the_owner() {
-    let nodes = Nodes::new(patient()).await;
-    let running: Vec<_> = (1..=3).map(|n| nodes.start(n, Belief::Lowest)).collect();
+    let nodes = Nodes::new(long_timeouts()).await;
+    let running: Vec<_> = (1..=3).map(|n| nodes.start(n, OwnerChoice::Lowest)).collect();
     let keys: Vec<_> = (0..200).map(|_| key()).collect();
     let created = race(&running, &keys).await;
     assert!(created.iter().all(|count| *count == 1), "{created:?}");
@@ -49,9 +49,9 @@
 
 #[tokio::test]
 async fn two_owners_at_once_conflict_and_merge() {
-    let settings = intents::Settings { buckets: 1, ..patient() };
+    let settings = intents::Settings { buckets: 1, ..long_timeouts() };
     let nodes = Nodes::new(settings).await;
-    let running: Vec<_> = (1..=2).map(|n| nodes.start(n, Belief::Itself)).collect();
+    let running: Vec<_> = (1..=2).map(|n| nodes.start(n, OwnerChoice::Itself)).collect();
     let keys: Vec<_> = (0..200).map(|_| key()).collect();
     let created = race(&running, &keys).await;
     assert!(created.iter().all(|count| *count == 1), "{created:?}");
@@ -60,10 +60,10 @@
 }
 
 #[tokio::test]
-async fn one_commit_carries_what_came_within_the_window() {
-    let settings = intents::Settings { buckets: 1, window_ms: 100, ..patient() };
+async fn one_commit_writes_all_records_of_a_window() {
+    let settings = intents::Settings { buckets: 1, window_ms: 100, ..long_timeouts() };
     let nodes = Nodes::new(settings).await;
-    let node = nodes.start(1, Belief::Lowest);
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let started = time::Instant::now();
     let records = (0..300).map(|nonce| {
         let node = &node;
@@ -79,9 +79,9 @@
 
 #[tokio::test]
 async fn full_parts_roll_over_and_every_record_is_found() {
-    let settings = intents::Settings { buckets: 1, part_bytes: 2048, ..patient() };
+    let settings = intents::Settings { buckets: 1, part_bytes: 2048, ..long_timeouts() };
     let nodes = Nodes::new(settings).await;
-    let node = nodes.start(1, Belief::Lowest);
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let keys: Vec<_> = (0..400).map(|_| key()).collect();
     let records = keys.iter().enumerate().map(|(nonce, key)| node.record(key, nonce as u64));
     for outcome in future::join_all(records).await {
@@ -90,23 +90,23 @@
     let parts = nodes.kv.entries("intents/slots/");
     assert!(parts.len() >= 400 * 100 / 2048, "{} parts", parts.len());
     assert!(parts.iter().all(|part| part.value.len() <= 2048));
-    // Another node starts without any knowledge.
-    let other = nodes.start(2, Belief::Itself);
+    // Another node starts with no records in memory.
+    let other = nodes.start(2, OwnerChoice::Itself);
     for (nonce, key) in keys.iter().enumerate() {
-        let standing = node.intent(nonce as u64);
-        assert_eq!(other.handle.look_up(key).await, LookUp::Found(standing.clone()));
+        let stored = node.intent(nonce as u64);
+        assert_eq!(other.handle.look_up(key).await, LookUp::Found(stored.clone()));
     }
     let taken = RecordOutcome::Exists(node.intent(0));
     assert_eq!(other.record(&keys[0], 9_999).await, taken);
 }
 
 #[tokio::test]
-async fn a_look_up_sees_what_another_owner_wrote_since() {
-    // One slot for all, so that both nodes know an earlier state of it.
-    let settings = intents::Settings { buckets: 1, slice_ms: 1 << 40, ..patient() };
+async fn a_look_up_finds_what_another_owner_wrote_meanwhile() {
+    // One slot holds all records, so both nodes have an earlier state of it in memory.
+    let settings = intents::Settings { buckets: 1, slice_ms: 1 << 40, ..long_timeouts() };
     let nodes = Nodes::new(settings).await;
-    let first = nodes.start(1, Belief::Itself);
-    let second = nodes.start(2, Belief::Itself);
+    let first = nodes.start(1, OwnerChoice::Itself);
+    let second = nodes.start(2, OwnerChoice::Itself);
     for nonce in 1..20 {
         let key = key();
         assert_eq!(second.handle.look_up(&key).await, LookUp::Absent);
@@ -122,11 +122,11 @@
         slice_ms: 1 << 40,
         window_ms: 100,
         part_bytes: 2048,
-        ..patient()
+        ..long_timeouts()
     };
     let nodes = Nodes::new(settings).await;
-    let owner = nodes.start(1, Belief::Lowest);
-    let other = nodes.start(2, Belief::Lowest);
+    let owner = nodes.start(1, OwnerChoice::Lowest);
+    let other = nodes.start(2, OwnerChoice::Lowest);
     let keys: Vec<_> = (0..100).map(|_| key()).collect();
     let records = keys.iter().enumerate().map(|(nonce, key)| owner.record(key, nonce as u64));
     future::join_all(records).await;
@@ -145,8 +145,8 @@
 
 #[tokio::test]
 async fn a_closed_request_cannot_be_recorded_for_dispatch() {
-    let nodes = Nodes::new(patient()).await;
-    let node = nodes.start(1, Belief::Lowest);
+    let nodes = Nodes::new(long_timeouts()).await;
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let key = key();
     let closed = request::Record::Closed { nonce: id::Nonce(5) };
     assert_eq!(node.handle.record(&key, &closed).await, RecordOutcome::Created);
@@ -154,9 +154,9 @@
 }
 
 #[tokio::test]
-async fn the_same_record_again_is_still_the_writers_own() {
-    let nodes = Nodes::new(patient()).await;
-    let node = nodes.start(1, Belief::Lowest);
+async fn recording_the_same_record_again_succeeds() {
+    let nodes = Nodes::new(long_timeouts()).await;
+    let node = nodes.start(1, OwnerChoice::Lowest);
     let key = key();
     assert_eq!(node.handle.look_up(&key).await, LookUp::Absent);
     assert_eq!(node.record(&key, 5).await, RecordOutcome::Created);
@@ -166,13 +166,13 @@
 }
 
 #[tokio::test]
-async fn the_layout_that_stands_wins() {
-    let nodes = Nodes::new(patient()).await;
-    let first = nodes.start(1, Belief::Itself);
+async fn the_stored_layout_wins() {
+    let nodes = Nodes::new(long_timeouts()).await;
+    let first = nodes.start(1, OwnerChoice::Itself);
     let key = key();
     assert_eq!(first.record(&key, 1).await, RecordOutcome::Created);
     let other = intents::Settings { buckets: 3, slice_ms: 1000, keep_ms: 5000, ..nodes.settings };
-    let second = nodes.start_with(2, Belief::Itself, other);
+    let second = nodes.start_with(2, OwnerChoice::Itself, other);
     assert_eq!(second.record(&key, 2).await, RecordOutcome::Exists(first.intent(1)));
     assert_eq!(second.handle.layout(), first.handle.layout());
 }
--- a/crates/daemon/tests/testsuite/limits.rs
+++ b/crates/daemon/tests/testsuite/limits.rs
@@ -1,4 +1,4 @@
-//! Settings out of their ranges, and the services made of settings within them.
+//! Settings out of range are rejected, and services start with any settings within range.
 
 use proptest::prelude::*;
 use trefoildyke_daemon::{config, operators, orders, settings};
@@ -25,11 +25,11 @@
         "operators: {limits: {body_ms: 0}}",
         "operators: {limits: {resource_bytes: 1}}",
     ];
-    let told = sections.map(|section| settings(section).unwrap_err().to_string());
-    insta::assert_snapshot!(told.join("\n"));
+    let messages = sections.map(|section| settings(section).unwrap_err().to_string());
+    insta::assert_snapshot!(messages.join("\n"));
 }
 
-/// Creates the services that the settings are for.
+/// Creates the services that use the settings.
 async fn start(settings: &settings::Settings) {
     let client = platform::KvClient::new(settings.platform.kv_settings());
     let (handle, keeper) = config::new(settings.config.clone(), client.clone());
@@ -47,16 +47,16 @@
         tokio::sync::watch::channel(operators::Progress::default()).1,
         std::sync::Arc::new(|_| Default::default()),
     );
-    let moment = std::time::Duration::from_millis(1);
+    let short_time = std::time::Duration::from_millis(1);
     let both = async { tokio::join!(keeper.run(), follow) };
-    // Neither ends by itself; what matters is that neither panics.
-    let _ = tokio::time::timeout(moment, both).await;
+    // Neither future ends by itself; the test checks that neither panics.
+    let _ = tokio::time::timeout(short_time, both).await;
     drop(face);
 }
 
 proptest! {
     #[test]
-    fn any_settings_are_refused_or_work(
+    fn any_settings_are_rejected_or_work(
         section in prop::sample::select(vec!["config", "operators", "callers", "peers"]),
         field in prop::sample::select(vec![
             "watchers", "watch_ms", "retry_ms", "poll_ms", "write_ms", "page", "changes", "watches",
--- a/crates/daemon/tests/testsuite/main.rs
+++ b/crates/daemon/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the services.
+//! Integration tests of the services.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests unwrap as tests do")]
 
--- a/crates/daemon/tests/testsuite/members/connections.rs
+++ b/crates/daemon/tests/testsuite/members/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that break or go silent.
+//! Connections that fail or stop transmitting.
 
 use std::time;
 
@@ -9,8 +9,8 @@
 
 use crate::members::nodes;
 
-/// Starts two nodes; the first reaches the second through a relay only.
-async fn behind_relay(
+/// Starts two nodes; the first one can reach the second one only through a relay.
+async fn start_with_relay(
     kernel: &trefoildyke_kernel::Kernel,
 ) -> (nodes::Node, nodes::Node, relay::Running) {
     let one = nodes::run(nodes::prepare(1, &[]).await, kernel);
@@ -28,7 +28,7 @@
     client.ping(peer::within(limit)).await.is_ok()
 }
 
-/// Pings until it works; the bound is the test's, not the product's.
+/// Pings until a ping is answered. The time limit is for the test only; the services do not guarantee it.
 async fn ping_until_answered(from: &nodes::Node, to: &nodes::Node) {
     let answered = async {
         while !ping(&from.peers, to, nodes::LONG).await {
@@ -42,7 +42,7 @@
 fn a_connection_that_goes_silent_is_replaced() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
-        let (one, two, relay) = behind_relay(&kernel).await;
+        let (one, two, relay) = start_with_relay(&kernel).await;
         ping_until_answered(&one, &two).await;
         relay.silence_open();
         let opened = relay.connections();
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn a_connection_that_goes_silent_one_way_is_replaced() {
+fn a_connection_that_goes_silent_in_one_direction_is_replaced() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
-        let (one, two, relay) = behind_relay(&kernel).await;
+        let (one, two, relay) = start_with_relay(&kernel).await;
         for direction in [relay::Direction::Up, relay::Direction::Down] {
             ping_until_answered(&one, &two).await;
             relay.silence_open_one_way(direction);
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn a_node_that_cannot_be_reached_is_suspect_and_comes_back() {
+fn an_unreachable_node_is_suspect_and_then_alive_again() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
-        let (one, two, relay) = behind_relay(&kernel).await;
+        let (one, two, relay) = start_with_relay(&kernel).await;
         relay.refuse_all();
         one.sees(|view| view.find(two.incarnation).is_some_and(|m| m.state != State::Alive)).await;
         relay.restore();
@@ -90,7 +90,7 @@
 fn one_connection_serves_many_calls() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
-        let (one, two, relay) = behind_relay(&kernel).await;
+        let (one, two, relay) = start_with_relay(&kernel).await;
         ping_until_answered(&one, &two).await;
         let opened = relay.connections();
         let calls = (0..64).map(|_| ping(&one.peers, &two, nodes::LONG));
--- a/crates/daemon/tests/testsuite/members/nodes.rs
+++ b/crates/daemon/tests/testsuite/members/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes with short intervals, and waits on their views.
+//! Test nodes with short intervals, and helpers that wait for their views.
 
 use std::{net, ops, time};
 
@@ -10,7 +10,7 @@
 pub(crate) const KEY: &str = "a key of 16 bytes or more";
 pub(crate) const LONG: time::Duration = time::Duration::from_secs(40);
 
-/// A node; everything of [`member::Node`] can be used.
+/// A test node; dereferences to [`member::Node`].
 pub(crate) struct Node(member::Node);
 
 impl ops::Deref for Node {
@@ -39,7 +39,7 @@
 }
 
 impl Node {
-    /// Ends the node as if its process were killed.
+    /// Ends the node abruptly, as if its process were killed.
     pub(crate) async fn kill(&self) {
         assert!(self.0.kill(LONG).await);
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Starts nodes that know the first one as their seed, and waits until all see all.
+/// Starts nodes with the first one as their seed, and waits until each one sees all of them as alive.
 pub(crate) async fn start(kernel: &kernel::Kernel, count: u64) -> Vec<Node> {
     let mut nodes: Vec<Node> = Vec::new();
     for number in 1..=count {
@@ -81,7 +81,8 @@
     kernel::Kernel::builder().start().unwrap()
 }
 
-/// Short intervals, so that the tests are short; a pause is never concluded on a busy machine.
+/// Returns parameters with short intervals, so that the tests are short. The `pause` is long, so that a
+/// delay on a busy machine is not mistaken for a pause of the process.
 fn params() -> members::Params {
     members::Params {
         period: time::Duration::from_millis(150),
--- a/crates/daemon/tests/testsuite/members/views.rs
+++ b/crates/daemon/tests/testsuite/members/views.rs
@@ -1,11 +1,11 @@
-//! Who is seen as what.
+//! The states of members in the views of other members.
 
 use trefoildyke_decide::members::State;
 
 use crate::members::nodes;
 
 #[test]
-fn nodes_find_one_another_by_a_seed_and_see_a_death() {
+fn nodes_join_through_a_seed_and_detect_a_dead_node() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
         let nodes = nodes::start(&kernel, 4).await;
@@ -23,11 +23,11 @@
 }
 
 #[test]
-fn two_that_die_at_once_are_both_seen_as_dead() {
+fn two_nodes_that_die_at_once_are_both_seen_as_dead() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
         let nodes = nodes::start(&kernel, 5).await;
-        // The root of the tree and one of its children.
+        // These are the root of the tree and one of its children.
         tokio::join!(nodes[0].kill(), nodes[1].kill());
         for node in &nodes[2..] {
             node.sees_alive(&nodes[2..].iter().collect::<Vec<_>>()).await;
@@ -63,26 +63,26 @@
 }
 
 #[test]
-fn a_node_with_another_key_is_in_no_view() {
+fn a_node_with_a_wrong_key_is_in_no_view() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
         let nodes = nodes::start(&kernel, 2).await;
         let mut start = nodes::prepare(9, &[nodes[0].address, nodes[1].address]).await;
         start.keys = nodes::keys("another key, long enough");
-        let stranger = nodes::run(start, &kernel);
-        let refused = stranger.peers.client_at(nodes[0].address).await.err().unwrap();
+        let wrong_key_node = nodes::run(start, &kernel);
+        let refused = wrong_key_node.peers.client_at(nodes[0].address).await.err().unwrap();
         assert_eq!(refused.kind, trefoildyke_types::error::ErrorKind::Unauthorized);
-        // A node that starts later with the right key is let in by the same seeds.
-        let friend = nodes::run(nodes::prepare(10, &[nodes[0].address]).await, &kernel);
-        friend.sees_alive(&[&nodes[0], &nodes[1], &friend]).await;
-        assert_eq!(stranger.members.view().members.len(), 1);
-        assert_eq!(nodes[0].state_of(&stranger), None);
+        // A node that starts later with the right key can join through the same seed.
+        let right_key_node = nodes::run(nodes::prepare(10, &[nodes[0].address]).await, &kernel);
+        right_key_node.sees_alive(&[&nodes[0], &nodes[1], &right_key_node]).await;
+        assert_eq!(wrong_key_node.members.view().members.len(), 1);
+        assert_eq!(nodes[0].state_of(&wrong_key_node), None);
     });
     assert!(kernel.close().is_empty());
 }
 
 #[test]
-fn a_restarted_node_takes_the_place_of_its_old_incarnation() {
+fn a_restarted_node_replaces_its_old_incarnation() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
         let nodes = nodes::start(&kernel, 3).await;
@@ -90,12 +90,12 @@
         nodes[2].kill().await;
         let mut start = nodes::prepare(50, &[nodes[0].address]).await;
         start.listener = tokio::net::TcpListener::bind(address).await.unwrap();
-        let again = nodes::run(start, &kernel);
-        nodes[0].sees_alive(&[&nodes[0], &nodes[1], &again]).await;
+        let restarted = nodes::run(start, &kernel);
+        nodes[0].sees_alive(&[&nodes[0], &nodes[1], &restarted]).await;
         assert_eq!(nodes[0].state_of(&nodes[2]), Some(State::Dead));
         let old = nodes[0].peers.client(nodes[2].incarnation).await.err().unwrap();
         assert_eq!(old.kind, trefoildyke_types::error::ErrorKind::NotFound);
-        nodes[0].peers.client(again.incarnation).await.unwrap();
+        nodes[0].peers.client(restarted.incarnation).await.unwrap();
     });
     assert!(kernel.close().is_empty());
 }
@@ -126,15 +126,16 @@
 }
 
 #[test]
-fn a_peer_that_has_a_later_version_is_named() {
+fn a_peer_with_a_newer_version_is_announced() {
     let kernel = nodes::kernel();
     kernel.block_on(async {
         let nodes = nodes::start(&kernel, 2).await;
         nodes[1].configure(3);
         let mut newest = nodes[0].members.newest();
-        let named = newest.wait_for(|newest| newest.is_some_and(|newest| newest.version == 3));
-        let named = tokio::time::timeout(nodes::LONG, named).await.unwrap().unwrap().unwrap();
-        assert_eq!(named.incarnation, nodes[1].incarnation);
+        let announced = newest.wait_for(|newest| newest.is_some_and(|newest| newest.version == 3));
+        let announced =
+            tokio::time::timeout(nodes::LONG, announced).await.unwrap().unwrap().unwrap();
+        assert_eq!(announced.incarnation, nodes[1].incarnation);
     });
     assert!(kernel.close().is_empty());
 }
--- a/crates/daemon/tests/testsuite/operators/bad_input.rs
+++ b/crates/daemon/tests/testsuite/operators/bad_input.rs
@@ -1,4 +1,4 @@
-//! Input that no operator should send.
+//! Tests of invalid input from operators.
 
 use proptest::prelude::*;
 use testbed::operators::Server;
@@ -6,7 +6,7 @@
 use trefoildyke_types::error;
 use trefoildyke_wire::http;
 
-/// Returns the kind of the typed error that a refusal carries.
+/// Returns the kind of the error in a refusal; checks that the error has a remedy.
 fn kind(reply: &hyper::Response<bytes::Bytes>) -> error::ErrorKind {
     let error: error::Error = http::parse(reply).unwrap();
     assert!(!error.remedy.is_empty());
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn without_the_token_nothing_is_told() {
+async fn every_call_without_the_token_is_unauthorized() {
     let server = Server::new(operators::Settings::default()).await.unwrap();
     let wrong =
         ["", "Bearer", "Bearer ", "Bearer wrong", "Basic YTpi", "bearer an operator's token"];
@@ -46,13 +46,13 @@
         ("POST", "/v1/apply", br#"[{"kind": "Tier", "name": "a", "spec": {"ranks": 1}}]"#),
         ("DELETE", "/v1/resources/Tier/a?resource_version=-1", b""),
     ];
-    let mut told = Vec::new();
+    let mut messages = Vec::new();
     for (method, path, body) in cases {
         let reply = server.call(method, path, body).await.unwrap();
         let error: error::Error = http::parse(&reply).unwrap();
-        told.push(format!("{} {method} {path}\n    {error}", reply.status().as_u16()));
+        messages.push(format!("{} {method} {path}\n    {error}", reply.status().as_u16()));
     }
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(messages.join("\n"));
 }
 
 #[tokio::test]
@@ -72,7 +72,7 @@
     assert_eq!(reply.headers()["retry-after"], "1");
 }
 
-/// A JSON value of any form.
+/// Returns a strategy for arbitrary JSON values.
 fn any_json() -> impl Strategy<Value = serde_json::Value> {
     let leaf = prop_oneof![
         Just(serde_json::Value::Null),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn any_call_gets_an_answer_or_a_typed_error() {
+fn any_call_gets_an_answer_or_a_client_error() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let server = runtime.block_on(Server::new(operators::Settings::default())).unwrap();
     let method = prop::sample::select(vec!["GET", "PUT", "POST", "DELETE", "PATCH"]);
--- a/crates/daemon/tests/testsuite/operators/calls.rs
+++ b/crates/daemon/tests/testsuite/operators/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and their answers.
+//! Tests of the operators' calls and their answers.
 
 use testbed::{operators::Server, switch};
 use trefoildyke_daemon::operators;
@@ -31,8 +31,8 @@
     assert_eq!((status, &accepted["version"]), (200, &1.into()));
     let (status, _) = put(&server, &tier(6, 1)).await;
     assert_eq!(status, 200);
-    let standing = server.client().unwrap().get(&key()).await.unwrap();
-    assert_eq!((standing.generation, standing.resource_version), (2, 2));
+    let stored = server.client().unwrap().get(&key()).await.unwrap();
+    assert_eq!((stored.generation, stored.resource_version), (2, 2));
     let path = "/v1/resources/Tier/urgent?resource_version=1";
     assert_eq!(server.call("DELETE", path, b"").await.unwrap().status(), 409);
     let path = "/v1/resources/Tier/urgent?resource_version=2";
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn of_racing_operators_one_wins_and_the_other_learns_the_version() {
+async fn one_of_two_racing_operators_wins_and_the_other_gets_the_version() {
     let server = Server::new(operators::Settings::default()).await.unwrap();
     put(&server, &tier(1, 0)).await;
     for version in 1..6 {
@@ -55,14 +55,14 @@
         };
         assert_eq!(won["version"], version + 1);
         assert_eq!(lost["context"]["current"], version + 1);
-        let standing = server.client().unwrap().get(&key()).await.unwrap();
-        let spec = serde_json::to_value(&standing.spec).unwrap();
+        let stored = server.client().unwrap().get(&key()).await.unwrap();
+        let spec = serde_json::to_value(&stored.spec).unwrap();
         assert_eq!(spec["spec"]["deadline_ms"], deadline_ms);
     }
 }
 
 #[tokio::test]
-async fn of_a_list_all_resources_are_accepted_or_none() {
+async fn a_list_of_resources_is_accepted_as_a_whole_or_not_at_all() {
     let server = Server::new(operators::Settings::default()).await.unwrap();
     let dangling = serde_json::json!({
         "kind": "PlannedStop", "name": "s", "spec": {"target": {"pool": "gone"}},
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_is_told_and_nothing_changes() {
+async fn an_outage_is_reported_and_changes_nothing() {
     let server = Server::new(operators::Settings::default()).await.unwrap();
     server.kv.set_mode(switch::Mode::new(switch::ModeKind::Down));
     let (status, body) = put(&server, &tier(5, 0)).await;
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn a_client_goes_on_to_the_next_daemon() {
+async fn a_client_tries_the_next_daemon() {
     let server = Server::new(operators::Settings::default()).await.unwrap();
     let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let daemons = vec![gone.local_addr().unwrap(), server.address()];
--- a/crates/daemon/tests/testsuite/operators/mod.rs
+++ b/crates/daemon/tests/testsuite/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP face, over one configuration service and a key-value stand-in.
+//! The HTTP interface for operators, with one configuration service and a simulated key-value service.
 
 mod bad_input;
 mod calls;
--- a/crates/daemon/tests/testsuite/orders.rs
+++ b/crates/daemon/tests/testsuite/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, with several services around one key-value stand-in.
+//! Orders to engines, with several order services and one simulated key-value service.
 
 use std::{
     net, pin, sync,
@@ -51,7 +51,7 @@
     wrap("role", generation, resource::Spec::EngineOrder(spec))
 }
 
-/// Returns the resources as an operator sends them, with the pool that they name.
+/// Returns the resources as an operator sends them, with the pool that they refer to.
 fn with_pool(mut resources: Vec<resource::Resource>) -> Vec<resource::Resource> {
     let protocol = resource::PoolProtocol::Engine { model: "llama".into() };
     let spec = resource::EndpointPoolSpec { protocol, shards: 1 };
@@ -66,7 +66,7 @@
     decisions::OrderKey { name: "role".to_owned(), generation }
 }
 
-/// Runs a future only while it is not paused, as if its process were stopped and continued.
+/// A future that makes no progress while it is paused, like a process between SIGSTOP and SIGCONT.
 struct Pausable<F> {
     inner: pin::Pin<Box<F>>,
     pause: Pause,
@@ -99,7 +99,7 @@
     }
 }
 
-/// One daemon's order service, which believes that it is the one to carry out orders.
+/// The order service of one daemon; in its view, it has the role of carrying out orders.
 struct Daemon {
     handle: orders::Handle,
     config: watch::Sender<sync::Arc<config::Snapshot>>,
@@ -143,10 +143,10 @@
     }
 }
 
-async fn wait_for<T>(look: impl AsyncFn() -> Option<T>) -> T {
+async fn wait_for<T>(read: impl AsyncFn() -> Option<T>) -> T {
     let until = Instant::now() + WAIT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = read().await {
             return found;
         }
         assert!(Instant::now() < until, "not within {WAIT:?}");
@@ -158,7 +158,7 @@
     engine::serve(engine::Settings { checks_fencing, ..Default::default() }).await.unwrap()
 }
 
-fn carried(engine: &engine::Running) -> Vec<String> {
+fn executed(engine: &engine::Running) -> Vec<String> {
     engine.ledger().orders.into_iter().map(|order| order.order).collect()
 }
 
@@ -169,14 +169,14 @@
     let daemon = Daemon::start(kv.address(), 1, settings());
     daemon.configure(1, vec![endpoint(engine.address(), true), order(1)]);
     assert_eq!(daemon.ended(1).await.outcome, decisions::Outcome::Done);
-    // Another daemon finds it recorded, and carries out only the next one.
+    // Another daemon finds the record of the order, and carries out only the next order.
     daemon.stop().await;
     let next = Daemon::start(kv.address(), 2, settings());
     next.configure(2, vec![endpoint(engine.address(), true), order(2)]);
     let second = next.ended(2).await;
-    assert_eq!(carried(&engine), ["role/1", "role/2"]);
+    assert_eq!(executed(&engine), ["role/1", "role/2"]);
     assert!(engine.ledger().orders[0].fence < second.fence);
-    // The record of the order that is no longer wanted is gone.
+    // The record of the order that the configuration no longer contains is deleted.
     wait_for(async || next.handle.ended(&key(1)).await.ok().filter(Option::is_none)).await;
     next.stop().await;
 }
@@ -191,10 +191,10 @@
     daemon.stop().await;
 }
 
-/// Daemon 1 takes the lease but cannot reach the engine, and is paused. Daemon 2 takes over and
-/// carries out orders 1 and 2. Then daemon 1 can reach the engine and wakes. Returns what the
-/// engine carried out, among it a third order if harm is expected.
-async fn wake_a_former_holder(
+/// Daemon 1 acquires the lease, cannot reach the engine, and is paused. Daemon 2 takes over and carries
+/// out orders 1 and 2. Then daemon 1 can reach the engine and resumes. Returns the orders that the
+/// engine carried out; if `is_harmed`, they include a repeated third one.
+async fn resume_a_former_holder(
     checks_fencing: bool,
     ends_by_clock: bool,
     is_harmed: bool,
@@ -202,19 +202,19 @@
     let kv = kv::serve(kv::Settings::default()).await.unwrap();
     let client = platform::KvClient::new(platform::KvSettings::new(kv.address()));
     let engine = start_engine(checks_fencing).await;
-    let way = relay::serve(engine.address()).await.unwrap();
-    way.refuse_all();
+    let relay = relay::serve(engine.address()).await.unwrap();
+    relay.refuse_all();
     let mut former_settings = settings();
     if !ends_by_clock {
         former_settings.ttl_ms = 3_600_000;
     }
     let former = Daemon::start(kv.address(), 1, former_settings);
-    former.configure(1, vec![endpoint(way.address(), checks_fencing), order(1)]);
+    former.configure(1, vec![endpoint(relay.address(), checks_fencing), order(1)]);
     wait_for(async || client.get("orders/holder").await.ok()?.entry).await;
     former.pause.set(true);
     let paused = Instant::now();
     if !ends_by_clock {
-        // The lease lapses all the same.
+        // Deletes the lease key, as if the lease had expired.
         let delete = platform::message::Delete { key: "orders/holder".to_owned(), expect: None };
         client.delete(&delete).await.unwrap();
     }
@@ -226,40 +226,40 @@
     new.configure(2, resources(2));
     new.ended(2).await;
     tokio::time::sleep_until((paused + Duration::from_secs(5)).into()).await;
-    way.restore();
+    relay.restore();
     former.pause.set(false);
     if is_harmed {
-        wait_for(async || (carried(&engine).len() == 3).then_some(())).await;
+        wait_for(async || (executed(&engine).len() == 3).then_some(())).await;
     } else {
-        // Long enough for many attempts: it retries every 100 ms.
+        // Long enough for many attempts: daemon 1 retries every 100 ms.
         tokio::time::sleep(Duration::from_secs(3)).await;
     }
     former.stop().await;
     new.stop().await;
-    carried(&engine)
+    executed(&engine)
 }
 
 #[tokio::test]
-async fn a_former_holder_that_wakes_sends_nothing_old() {
-    let [checking, trusting] =
-        [true, false].map(|checks| wake_a_former_holder(checks, true, false));
-    let (checking, trusting) = tokio::join!(checking, trusting);
+async fn a_resumed_former_holder_sends_no_old_orders() {
+    let [checking, not_checking] =
+        [true, false].map(|checks| resume_a_former_holder(checks, true, false));
+    let (checking, not_checking) = tokio::join!(checking, not_checking);
     assert_eq!(checking, ["role/1", "role/2"]);
-    assert_eq!(trusting, ["role/1", "role/2"]);
+    assert_eq!(not_checking, ["role/1", "role/2"]);
 }
 
 #[tokio::test]
-async fn without_its_own_clock_a_former_holder_harms_an_engine_that_does_not_check() {
-    let [checking, trusting] =
-        [true, false].map(|checks| wake_a_former_holder(checks, false, !checks));
-    let (checking, trusting) = tokio::join!(checking, trusting);
-    // The fencing token protects the engine that checks.
+async fn without_lease_expiry_a_former_holder_repeats_an_order_at_an_engine_that_does_not_check() {
+    let [checking, not_checking] =
+        [true, false].map(|checks| resume_a_former_holder(checks, false, !checks));
+    let (checking, not_checking) = tokio::join!(checking, not_checking);
+    // The fencing token protects only the engine that checks it.
     assert_eq!(checking, ["role/1", "role/2"]);
-    assert_eq!(trusting, ["role/1", "role/2", "role/1"]);
+    assert_eq!(not_checking, ["role/1", "role/2", "role/1"]);
 }
 
 #[tokio::test]
-async fn two_services_that_race_carry_an_order_out_once() {
+async fn two_racing_services_carry_out_an_order_once() {
     let kv = kv::serve(kv::Settings::default()).await.unwrap();
     let engine = start_engine(false).await;
     let daemons = [1, 2].map(|number| Daemon::start(kv.address(), number, settings()));
@@ -267,11 +267,11 @@
         daemon.configure(1, vec![endpoint(engine.address(), false), order(1)]);
     }
     daemons[0].ended(1).await;
-    // Both have looked when the lease is free and nobody asks for it any more.
+    // Once the lease is free and stays free, both services have seen the record of the order.
     let client = platform::KvClient::new(platform::KvSettings::new(kv.address()));
     wait_for(async || client.get("orders/holder").await.ok()?.entry.is_none().then_some(())).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(carried(&engine), ["role/1"]);
+    assert_eq!(executed(&engine), ["role/1"]);
     for daemon in daemons {
         daemon.stop().await;
     }
@@ -297,7 +297,7 @@
     assert_eq!(one["status"]["phase"], "Done");
     let all = phase("/v1/resources/EngineOrder").await;
     assert_eq!(all["resources"][0]["status"]["phase"], "Done");
-    // Without the key-value service the phase stays what is known for certain.
+    // Without the key-value service, the phase falls back to the last one known for certain.
     server.kv.set_mode(switch::Mode::new(switch::ModeKind::Down));
     let one = phase("/v1/resources/EngineOrder/role").await;
     assert_eq!(one["status"]["phase"], "InForce");
@@ -305,7 +305,7 @@
     daemon.stop().await;
 }
 
-/// Passes calls on to the key-value service and loses the answer to the first write of a key.
+/// A proxy of the key-value service that loses the answer to the first write of a key.
 async fn lose_first_put(target: net::SocketAddr) -> http::Server {
     let lost = sync::Arc::new(atomic::AtomicBool::new(false));
     let client = http::Client::default();
@@ -329,40 +329,40 @@
 }
 
 #[tokio::test]
-async fn a_lease_whose_answer_was_lost_is_recognised_by_its_mark() {
+async fn a_lease_whose_answer_was_lost_is_recognised_by_its_nonce() {
     let kv = kv::serve(kv::Settings::default()).await.unwrap();
-    let losing = lose_first_put(kv.address()).await;
+    let proxy = lose_first_put(kv.address()).await;
     let engine = start_engine(true).await;
-    // The lease lasts longer than the test waits: it is used, not waited out.
-    let long = orders::Settings { ttl_ms: 600_000, ..settings() };
-    let daemon = Daemon::start(losing.address(), 1, long);
+    // The lease lasts longer than the test waits, so the service must use the lease that it already has.
+    let long_ttl = orders::Settings { ttl_ms: 600_000, ..settings() };
+    let daemon = Daemon::start(proxy.address(), 1, long_ttl);
     daemon.configure(1, vec![endpoint(engine.address(), true), order(1)]);
     assert_eq!(daemon.ended(1).await.outcome, decisions::Outcome::Done);
-    assert_eq!(carried(&engine), ["role/1"]);
+    assert_eq!(executed(&engine), ["role/1"]);
     daemon.stop().await;
 }
 
 #[tokio::test]
-async fn nothing_is_ordered_while_the_key_value_service_is_down() {
+async fn no_order_is_sent_while_the_key_value_service_is_down() {
     let kv = kv::serve(kv::Settings::default()).await.unwrap();
     kv.set_mode(switch::Mode::new(switch::ModeKind::Down));
     let engine = start_engine(true).await;
     let daemon = Daemon::start(kv.address(), 1, settings());
     daemon.configure(1, vec![endpoint(engine.address(), true), order(1)]);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert!(carried(&engine).is_empty());
+    assert!(executed(&engine).is_empty());
     kv.set_mode(switch::Mode::new(switch::ModeKind::Ok));
     daemon.ended(1).await;
-    assert_eq!(carried(&engine), ["role/1"]);
+    assert_eq!(executed(&engine), ["role/1"]);
     daemon.stop().await;
 }
 
 #[test]
-fn times_that_do_not_fit_together_are_refused() {
+fn inconsistent_times_are_rejected() {
     assert_eq!(orders::Settings::default().check(), Ok(()));
-    let short = orders::Settings { ttl_ms: 1_000, ..Default::default() };
-    let error = short.check().unwrap_err();
+    let short_ttl = orders::Settings { ttl_ms: 1_000, ..Default::default() };
+    let error = short_ttl.check().unwrap_err();
     assert_eq!(error.context.field.as_deref(), Some("orders.ttl_ms"));
-    let hasty = orders::Settings { settle_ms: 100, ..Default::default() };
-    assert!(hasty.check().is_err());
+    let short_settle = orders::Settings { settle_ms: 100, ..Default::default() };
+    assert!(short_settle.check().is_err());
 }
--- a/crates/daemon/tests/testsuite/settings.rs
+++ b/crates/daemon/tests/testsuite/settings.rs
@@ -1,20 +1,20 @@
 use trefoildyke_daemon::settings;
 
-const LEAST: &str = "{host: entry-1, zone: salem, peers: {keys: [sixteen-bytes-or-more]}";
+const MINIMAL: &str = "{host: entry-1, zone: salem, peers: {keys: [sixteen-bytes-or-more]}";
 
 fn error(more: &str) -> String {
-    settings::Settings::from_yaml(&format!("{LEAST}{more}}}")).unwrap_err().to_string()
+    settings::Settings::from_yaml(&format!("{MINIMAL}{more}}}")).unwrap_err().to_string()
 }
 
 #[test]
-fn the_least_file_takes_every_default() {
-    let settings = settings::Settings::from_yaml(&format!("{LEAST}}}")).unwrap();
+fn a_minimal_file_takes_every_default() {
+    let settings = settings::Settings::from_yaml(&format!("{MINIMAL}}}")).unwrap();
     assert_eq!(settings.callers, settings::Callers::default());
     assert_eq!(settings.host.as_str(), "entry-1");
 }
 
 #[test]
-fn unknown_keys_are_refused_with_the_remedy() {
+fn unknown_keys_are_rejected_with_the_remedy() {
     let error = error(", listen: {caller: '127.0.0.1:1'}");
     assert!(error.contains("listen: unknown field `caller`"), "{error}");
     assert!(error.ends_with("prints every key with its default"), "{error}");
@@ -39,7 +39,7 @@
 
 #[test]
 fn keys_are_never_shown() {
-    let settings = settings::Settings::from_yaml(&format!("{LEAST}}}")).unwrap();
+    let settings = settings::Settings::from_yaml(&format!("{MINIMAL}}}")).unwrap();
     let shown = format!("{settings:?}{}", settings.to_yaml().unwrap());
     assert!(!shown.contains("sixteen"), "{shown}");
 }
--- a/crates/daemon/tests/testsuite/timeline.rs
+++ b/crates/daemon/tests/testsuite/timeline.rs
@@ -8,30 +8,31 @@
 }
 
 #[test]
-fn the_oldest_events_go_first_and_positions_stay() {
-    let line = timeline("entry-1", 1, &peer::Clock::default());
+fn the_oldest_events_are_dropped_first_and_positions_stay() {
+    let timeline = timeline("entry-1", 1, &peer::Clock::default());
     for detail in ["a", "b", "c", "d"] {
-        line.record(None, "tested", detail);
+        timeline.record(None, "tested", detail);
     }
-    let page = line.read(0, 10);
+    let page = timeline.read(0, 10);
     let details: Vec<_> = page.events.iter().map(|event| event.detail.as_str()).collect();
     assert_eq!(details, ["b", "c", "d"]);
     assert_eq!((page.events[0].seq, page.next), (2, 4));
-    let page = line.read(3, 10);
+    let page = timeline.read(3, 10);
     assert_eq!((page.events.len(), page.next), (1, 4));
     let end = message::EventPage { events: vec![], next: 4, more: false };
-    assert_eq!(line.read(4, 10), end);
-    assert!(line.read(0, 1).more);
+    assert_eq!(timeline.read(4, 10), end);
+    assert!(timeline.read(0, 1).more);
 }
 
 #[test]
-fn an_event_after_a_message_is_later_than_the_one_before_it() {
-    let (here, there) = (peer::Clock::default(), peer::Clock::default());
-    // The wall clock of `here` is far ahead.
-    here.merge(4_000_000_000_000_000);
-    let (sender, receiver) = (timeline("entry-1", 1, &here), timeline("entry-2", 2, &there));
+fn an_event_after_receiving_a_message_has_a_later_clock_than_the_send() {
+    let (sender_clock, receiver_clock) = (peer::Clock::default(), peer::Clock::default());
+    // The sender's clock is far ahead.
+    sender_clock.merge(4_000_000_000_000_000);
+    let (sender, receiver) =
+        (timeline("entry-1", 1, &sender_clock), timeline("entry-2", 2, &receiver_clock));
     sender.record(None, "sent", "");
-    there.merge(here.now());
+    receiver_clock.merge(sender_clock.now());
     receiver.record(None, "received", "");
     assert!(receiver.read(0, 1).events[0].clock > sender.read(0, 1).events[0].clock);
 }
