--- a/crates/daemon/src/endpoints/watcher.rs
+++ b/crates/daemon/src/endpoints/watcher.rs
@@ -14,8 +14,8 @@
 
 /// The interval at which the watcher starts due calls and reviews the endpoints.
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
-/// The oldest timestamp that is trusted. A report that claims to be older, or to come from the
-/// future, shows that the endpoint's clock is wrong.
+/// The longest plausible age of a load report. A timestamp that is older, or lies in the future, is not
+/// trusted, because the clock of the endpoint must be wrong.
 const MAX_REPORT_AGE: time::Duration = time::Duration::from_secs(10);
 /// The age assumed for a report whose timestamp is not trusted.
 const DEFAULT_REPORT_AGE: time::Duration = time::Duration::from_secs(1);
--- a/crates/daemon/src/orders/service.rs
+++ b/crates/daemon/src/orders/service.rs
@@ -104,11 +104,11 @@
 
     fn step(&mut self, input: decisions::Input) {
         for action in self.controller.step(self.clock.now(), input) {
-            self.run_action(action);
+            self.handle_action(action);
         }
     }
 
-    fn run_action(&mut self, action: decisions::Action) {
+    fn handle_action(&mut self, action: decisions::Action) {
         let (kv, clock) = (self.kv.clone(), self.clock.clone());
         match action {
             decisions::Action::Acquire { version } => {
--- a/crates/daemon/src/schedule/actor.rs
+++ b/crates/daemon/src/schedule/actor.rs
@@ -145,13 +145,13 @@
         let mut inputs = collections::VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             for output in self.shard.step(self.clock.mono(), input) {
-                inputs.extend(self.carry_out(output));
+                inputs.extend(self.handle_output(output));
             }
         }
     }
 
     /// Carries out an output; returns an input for the scheduler if the output leads to one.
-    fn carry_out(&mut self, output: decide::Output) -> Option<decide::Input> {
+    fn handle_output(&mut self, output: decide::Output) -> Option<decide::Input> {
         match output {
             decide::Output::Grant(permit) => self.grant(permit),
             decide::Output::Shed { key, refusal } => {
