--- a/crates/gateway/src/state/queued_request.rs
+++ b/crates/gateway/src/state/queued_request.rs
@@ -13,7 +13,7 @@
     shared: sync::Arc<state::Shared>,
     service: id::PoolName,
     ticket: gateway::Ticket,
-    settled: oneshot::Receiver<gateway::Settled>,
+    settled: oneshot::Receiver<gateway::QueueDecision>,
     /// Whether the result was received from `settled`.
     is_received: bool,
 }
@@ -23,13 +23,16 @@
         shared: sync::Arc<state::Shared>,
         service: id::PoolName,
         ticket: gateway::Ticket,
-        settled: oneshot::Receiver<gateway::Settled>,
+        settled: oneshot::Receiver<gateway::QueueDecision>,
     ) -> Self {
         Self { shared, service, ticket, settled, is_received: false }
     }
 
     /// Returns the result for the request; `None` if there is none by `end`.
-    pub(crate) async fn settled(mut self, end: tokio::time::Instant) -> Option<gateway::Settled> {
+    pub(crate) async fn settled(
+        mut self,
+        end: tokio::time::Instant,
+    ) -> Option<gateway::QueueDecision> {
         let settled = tokio::time::timeout_at(end, &mut self.settled).await.ok()?.ok()?;
         self.is_received = true;
         Some(settled)
@@ -43,13 +46,13 @@
         }
         // A grant may have arrived meanwhile.
         match self.settled.try_recv() {
-            Ok(gateway::Settled::Granted(grant)) => {
+            Ok(gateway::QueueDecision::Granted(grant)) => {
                 self.shared.release(&self.service, &grant, grant.prompt, gateway::Outcome::Unused);
                 return;
             }
-            Ok(gateway::Settled::Refused(_)) => return,
+            Ok(gateway::QueueDecision::Refused(_)) => return,
             Err(_) => {}
         }
-        self.shared.core().service(&self.service).give_up(self.shared.now(), self.ticket);
+        self.shared.core().service(&self.service).cancel(self.shared.now(), self.ticket);
     }
 }
--- a/crates/gateway/src/state/remote_request.rs
+++ b/crates/gateway/src/state/remote_request.rs
@@ -14,7 +14,7 @@
     service: id::PoolName,
     peer: net::SocketAddr,
     number: u64,
-    demand: gateway::Demand,
+    pool_request: gateway::PoolRequest,
     replies: mpsc::UnboundedReceiver<Reply>,
     /// Whether the other daemon still has the request in its queue.
     is_queued: bool,
@@ -25,11 +25,12 @@
         shared: sync::Arc<state::Shared>,
         service: id::PoolName,
         peer: net::SocketAddr,
-        demand: gateway::Demand,
+        pool_request: gateway::PoolRequest,
     ) -> Self {
         let (sender, replies) = mpsc::unbounded_channel();
-        let number = shared.core().service(&service).register(demand.clone(), sender);
-        let request = Self { shared, service, peer, number, demand, replies, is_queued: true };
+        let number = shared.core().service(&service).register(pool_request.clone(), sender);
+        let request =
+            Self { shared, service, peer, number, pool_request, replies, is_queued: true };
         request.ask();
         request
     }
@@ -37,7 +38,7 @@
     /// Asks for a slot, or tells the other daemon that the request still waits.
     pub(crate) fn ask(&self) {
         let now = self.shared.now();
-        let ask = gateway::Ask::new(self.service.clone(), self.number, now, &self.demand);
+        let ask = gateway::Ask::new(self.service.clone(), self.number, now, &self.pool_request);
         self.shared.send(&gateway::Message::Ask(ask), &[self.peer]);
     }
 
--- a/crates/gateway/src/state/retry_reservation.rs
+++ b/crates/gateway/src/state/retry_reservation.rs
@@ -32,7 +32,7 @@
     pub(crate) fn mark_sent(mut self) {
         self.is_sent = true;
         let now = self.shared.now();
-        self.shared.core().service(&self.service).budget.repeat_sent(now);
+        self.shared.core().service(&self.service).budget.retry_sent(now);
     }
 }
 
--- a/crates/gateway/src/state/service.rs
+++ b/crates/gateway/src/state/service.rs
@@ -42,7 +42,7 @@
 /// The owner of a queued request.
 pub(super) enum Waiter {
     /// A request of this daemon.
-    Own(oneshot::Sender<gateway::Settled>),
+    Own(oneshot::Sender<gateway::QueueDecision>),
     /// A request of another daemon.
     Peer(AskKey),
 }
@@ -69,7 +69,7 @@
 
 /// A request of this daemon that is queued at another one.
 struct PendingRequest {
-    demand: gateway::Demand,
+    pool_request: gateway::PoolRequest,
     replies: mpsc::UnboundedSender<Reply>,
 }
 
@@ -84,11 +84,11 @@
 }
 
 /// The result of a request for a slot at this daemon.
-pub(crate) enum Verdict {
+pub(crate) enum Admission {
     /// A slot was granted.
     Granted(gateway::Grant),
     /// The result will come through the channel.
-    Queued(gateway::Ticket, oneshot::Receiver<gateway::Settled>),
+    Queued(gateway::Ticket, oneshot::Receiver<gateway::QueueDecision>),
     /// It would wait too long.
     Refused(time::Duration),
 }
@@ -117,16 +117,16 @@
     }
 
     /// Requests a slot from this daemon's own pool.
-    pub(crate) fn ask(&mut self, now: Timestamp, demand: gateway::Demand) -> Verdict {
-        match self.pool.arrive(now, demand) {
-            gateway::Verdict::Granted(grant) => Verdict::Granted(grant),
-            gateway::Verdict::Refused(refused) => Verdict::Refused(refused.retry_after),
-            gateway::Verdict::Queued(ticket) => {
+    pub(crate) fn ask(&mut self, now: Timestamp, pool_request: gateway::PoolRequest) -> Admission {
+        match self.pool.submit(now, pool_request) {
+            gateway::Admission::Granted(grant) => Admission::Granted(grant),
+            gateway::Admission::Refused(refused) => Admission::Refused(refused.retry_after),
+            gateway::Admission::Queued(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiters.insert(ticket, Waiter::Own(sender));
                 // The requests ahead in the queue may be unable to use a slot that is free.
                 self.dispatch(now);
-                Verdict::Queued(ticket, receiver)
+                Admission::Queued(ticket, receiver)
             }
         }
     }
@@ -134,11 +134,11 @@
     /// Registers a request that is to wait at another daemon; returns its number.
     pub(crate) fn register(
         &mut self,
-        demand: gateway::Demand,
+        pool_request: gateway::PoolRequest,
         replies: mpsc::UnboundedSender<Reply>,
     ) -> u64 {
         self.last_number += 1;
-        self.pending_requests.insert(self.last_number, PendingRequest { demand, replies });
+        self.pending_requests.insert(self.last_number, PendingRequest { pool_request, replies });
         self.last_number
     }
 
@@ -169,14 +169,19 @@
                 let last = self.grants_received.entry(peer).or_default();
                 *last = given.max(*last);
                 let Some(pending) = self.pending_requests.remove(&placed.number) else { return };
-                let taken = self.pool.take(now, &endpoint, &pending.demand, unread);
-                let taken =
-                    taken.map(|grant| gateway::Grant { first_ms, beside, ahead, age_ms, ..grant });
+                let taken = self.pool.accept_grant(now, &endpoint, &pending.pool_request, unread);
+                let taken = taken.map(|grant| gateway::Grant {
+                    first_ms,
+                    running: beside,
+                    queued_tokens: ahead,
+                    age_ms,
+                    ..grant
+                });
                 let reply = taken.map_or(Reply::Unusable(endpoint), Reply::Granted);
                 if let Err(mpsc::error::SendError(Reply::Granted(grant))) =
                     pending.replies.send(reply)
                 {
-                    self.pool.end(now, &grant, grant.prompt, gateway::Outcome::Unused);
+                    self.pool.end_request(now, &grant, grant.prompt, gateway::Outcome::Unused);
                 }
                 return;
             }
@@ -243,26 +248,31 @@
         }
     }
 
-    fn deliver(&mut self, now: Timestamp, ticket: gateway::Ticket, settled: gateway::Settled) {
+    fn deliver(
+        &mut self,
+        now: Timestamp,
+        ticket: gateway::Ticket,
+        settled: gateway::QueueDecision,
+    ) {
         let unused = match self.waiters.remove(&ticket) {
             Some(Waiter::Own(waiter)) => waiter.send(settled).err(),
             Some(Waiter::Peer(key)) => {
                 self.peer_requests.remove(&key);
                 return match settled {
-                    gateway::Settled::Granted(grant) => self.send_grant(now, key, &grant),
-                    gateway::Settled::Refused(refused) => self.send_refusal(key, refused),
+                    gateway::QueueDecision::Granted(grant) => self.send_grant(now, key, &grant),
+                    gateway::QueueDecision::Refused(refused) => self.send_refusal(key, refused),
                 };
             }
             None => Some(settled),
         };
-        if let Some(gateway::Settled::Granted(grant)) = unused {
-            self.pool.end(now, &grant, grant.prompt, gateway::Outcome::Unused);
+        if let Some(gateway::QueueDecision::Granted(grant)) = unused {
+            self.pool.end_request(now, &grant, grant.prompt, gateway::Outcome::Unused);
         }
     }
 
-    pub(crate) fn give_up(&mut self, now: Timestamp, ticket: gateway::Ticket) {
+    pub(crate) fn cancel(&mut self, now: Timestamp, ticket: gateway::Ticket) {
         self.waiters.remove(&ticket);
-        self.pool.give_up(now, ticket);
+        self.pool.cancel(now, ticket);
     }
 }
 
--- a/crates/gateway/src/state/shared.rs
+++ b/crates/gateway/src/state/shared.rs
@@ -141,7 +141,7 @@
         let now = self.now();
         self.update(|core| {
             let decided = core.service(service);
-            decided.pool.end(now, grant, prompt, outcome);
+            decided.pool.end_request(now, grant, prompt, outcome);
             decided.dispatch(now);
             core.report(now, service);
         });
@@ -191,7 +191,7 @@
 
     /// Records that another daemon is not to be asked for a while.
     pub(crate) fn suspect_peer(&self, peer: std::net::SocketAddr, reason: &'static str) {
-        self.core().mesh.doubt(self.now(), peer);
+        self.core().mesh.record_timeout(self.now(), peer);
         self.journal.write(&record::Event::PeerDoubted { peer, reason });
     }
 
--- a/crates/gateway/src/state/slot.rs
+++ b/crates/gateway/src/state/slot.rs
@@ -45,7 +45,7 @@
         let Some(last) = self.last_event.replace(now) else {
             self.shared.update(|core| {
                 let service = core.service(&self.service);
-                service.pool.first(now, &self.grant, prompt);
+                service.pool.record_first_event(now, &self.grant, prompt);
                 service.dispatch(now);
                 core.report(now, &self.service);
             });
@@ -54,7 +54,7 @@
         let pause = now.since(last);
         let mut core = self.shared.core();
         let pool = &mut core.service(&self.service).pool;
-        pool.event(now, &self.grant, pause.as_secs_f64());
+        pool.record_event(now, &self.grant, pause.as_secs_f64());
         Some(pause)
     }
 }
--- a/crates/gateway/tests/testsuite/peers.rs
+++ b/crates/gateway/tests/testsuite/peers.rs
@@ -3,7 +3,7 @@
 use std::{net, sync, sync::atomic, thread, time::Duration};
 
 use trefoildyke_decide::gateway::{
-    AccountUnit, Ask, Charge, Demand, Digest, Mesh, Message, Peer, PlaceReply, Strength,
+    AccountUnit, Ask, Charge, Digest, Mesh, Message, Peer, PlaceReply, PoolRequest, Strength,
 };
 use trefoildyke_types::time::Timestamp;
 
@@ -199,22 +199,22 @@
     let own = gateway.addresses.peers;
     gateway.feed.members(&[peer(own), peer(socket.local_addr().unwrap())]);
     let now = Timestamp::ZERO;
-    let demand = Demand {
+    let pool_request = PoolRequest {
         route: 0,
         rank: 0,
         zone: "a".into(),
         prompt: 0,
         parts: Vec::new(),
-        expected: 0.0,
-        gap: Duration::ZERO,
+        expected_tokens: 0.0,
+        max_pause: Duration::ZERO,
         objective: now + Duration::from_millis(300),
-        leaves: now + Duration::from_secs(2),
+        leaves_at: now + Duration::from_secs(2),
         deadline: now + Duration::from_secs(2),
         returning: false,
         repeatable: true,
         tried: Vec::new(),
     };
-    let ask = Message::Ask(Ask::new("svc".into(), 1, now, &demand));
+    let ask = Message::Ask(Ask::new("svc".into(), 1, now, &pool_request));
     let mut buffer = [0; 4_096];
     let mut placed = || loop {
         socket.send_to(&rmp_serde::to_vec(&ask).unwrap(), own).unwrap();
--- a/crates/spec/src/attempts.rs
+++ b/crates/spec/src/attempts.rs
@@ -6,7 +6,7 @@
 
 use std::fmt;
 
-use trefoildyke_decide::gateway::{Attempt, Failure, Next, Repeat};
+use trefoildyke_decide::gateway::{Attempt, Failure, RetryAction, RetryPolicy};
 
 use crate::{explore, invariant::Invariant};
 
@@ -64,7 +64,7 @@
     sends: Vec<Truth>,
     has_budget: bool,
     /// What the caller was told in the end.
-    told: Option<Next>,
+    told: Option<RetryAction>,
 }
 
 /// Explores every state within the bounds.
@@ -73,14 +73,14 @@
 }
 
 /// Returns the shortest steps to a caller that is told so.
-pub fn reach(bounds: &Bounds, told: Next) -> Option<Vec<String>> {
+pub fn reach(bounds: &Bounds, told: RetryAction) -> Option<Vec<String>> {
     let is_told = |world: &World| world.told == Some(told);
     explore::reach(&first(bounds), |world| next(bounds, world), is_told)
 }
 
 fn first(bounds: &Bounds) -> World {
-    let repeat = if bounds.idempotent { Repeat::Idempotent } else { Repeat::Never };
-    let attempt = Attempt::new(repeat, bounds.runs);
+    let policy = if bounds.idempotent { RetryPolicy::Idempotent } else { RetryPolicy::Never };
+    let attempt = Attempt::new(policy, bounds.runs);
     World { attempt, sends: vec![], has_budget: true, told: None }
 }
 
@@ -89,7 +89,7 @@
     if !bounds.idempotent && runs > 1 {
         return Some(Invariant::NonIdempotentRunsOnce);
     }
-    (world.told == Some(Next::NotRun) && runs > 0).then_some(Invariant::TruthfulRefusal)
+    (world.told == Some(RetryAction::NotRun) && runs > 0).then_some(Invariant::TruthfulRefusal)
 }
 
 fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
@@ -136,6 +136,6 @@
     world.attempt.sent();
     let has_budget = world.has_budget;
     let next = world.attempt.failed(failure, || has_budget);
-    world.told = (next != Next::Again).then_some(next);
+    world.told = (next != RetryAction::Again).then_some(next);
     world
 }
--- a/crates/spec/src/belief.rs
+++ b/crates/spec/src/belief.rs
@@ -38,7 +38,7 @@
         if let Some(confirmed) = self.confirmed {
             freshness.confirm(at(confirmed));
         }
-        self.known && freshness.is_fresh(at(self.clock))
+        self.known && freshness.accepts_keys(at(self.clock))
     }
 }
 
--- a/crates/spec/src/rollouts.rs
+++ b/crates/spec/src/rollouts.rs
@@ -176,7 +176,8 @@
         if world.is_bad { Comparison::Bad { evidence: 10.0 } } else { Comparison::Good };
     let has_heard = |daemon: &Daemon| daemon.stage.is_some_and(|stage| stage >= Stage::Moving);
     let is_heard = !bounds.waits || world.daemons.iter().all(has_heard);
-    let finding = Finding { comparison, is_idle: !world.runs && is_heard, is_alone: false };
+    let finding =
+        Finding { comparison, old_is_idle: !world.runs && is_heard, only_new_listed: false };
     let late = Timestamp::from_millis(1_000);
     known(stage).next(late, &service(), finding).map(|next| next.stage)
 }
--- a/crates/spec/tests/testsuite/attempts.rs
+++ b/crates/spec/tests/testsuite/attempts.rs
@@ -1,6 +1,6 @@
 //! The model of attempts.
 
-use trefoildyke_decide::gateway::Next;
+use trefoildyke_decide::gateway::RetryAction;
 use trefoildyke_spec::attempts::{Bounds, explore, reach};
 
 use crate::verdict;
@@ -15,7 +15,7 @@
         let report = explore(&bounds);
         println!("{} states {bounds:?}", report.states);
         assert!(report.broken.is_none(), "{}", report.broken.unwrap());
-        for told in [Next::NotRun, Next::Unknown, Next::PassOn] {
+        for told in [RetryAction::NotRun, RetryAction::Unknown, RetryAction::PassOn] {
             assert!(reach(&bounds, told).is_some(), "{told:?} is never told");
         }
     }
--- a/testbed/src/rollout/play.rs
+++ b/testbed/src/rollout/play.rs
@@ -4,8 +4,8 @@
 
 use rand::{Rng as _, SeedableRng as _};
 use trefoildyke_decide::gateway::{
-    Demand, Finding, Gate, Grant, Outcome, Pool, PoolParams, Rollout, Rollouts, RosterEntry,
-    Settled, Stage, Verdict,
+    Admission, Finding, Gate, Grant, Outcome, Pool, PoolParams, PoolRequest, QueueDecision,
+    Rollout, Rollouts, RosterEntry, Stage,
 };
 use trefoildyke_types::{id, time::Timestamp};
 
@@ -170,7 +170,7 @@
             }
         }
         rollouts.note_listed(&entries.iter().collect::<Vec<_>>());
-        entries.iter().for_each(|entry| pool.list(at(0), entry));
+        entries.iter().for_each(|entry| pool.upsert_endpoint(at(0), entry));
         let order = Rollout {
             service: service(),
             order: 1,
@@ -203,7 +203,7 @@
     fn decide(&mut self, ms: u64) {
         let now = at(ms);
         self.pool.expire_peers(now);
-        let finding: Finding = self.pool.finding(now, &"v2".into());
+        let finding: Finding = self.pool.rollout_status(now, &"v2".into());
         if let Some(next) = self.rollouts.next(now, &service(), finding) {
             self.course.stage = next.stage;
             self.course.ended_ms = ms;
@@ -221,22 +221,22 @@
             draw < sum
         });
         let route = route.unwrap_or(ROUTES.len() - 1);
-        let demand = Demand {
+        let request = PoolRequest {
             rank: 0,
             route: route as u32,
             zone: "a".into(),
             prompt: 1_000,
             parts: Vec::new(),
-            expected: 50.0,
-            gap: std::time::Duration::from_millis(400),
+            expected_tokens: 50.0,
+            max_pause: std::time::Duration::from_millis(400),
             objective: at(ms + 800),
-            leaves: at(ms + 2_000),
+            leaves_at: at(ms + 2_000),
             deadline: at(ms + 6_000),
             returning: false,
             repeatable: false,
             tried: Vec::new(),
         };
-        if let Verdict::Granted(grant) = self.pool.arrive(at(ms), demand) {
+        if let Admission::Granted(grant) = self.pool.submit(at(ms), request) {
             self.send(ms, &grant);
         }
     }
@@ -304,7 +304,7 @@
             let Some(coming) = self.coming.pop() else { return };
             let now = at(coming.at_ms);
             if !coming.is_end {
-                self.pool.first(now, &coming.grant, coming.grant.prompt);
+                self.pool.record_first_event(now, &coming.grant, coming.grant.prompt);
                 continue;
             }
             if let Some(running) = self.running.get_mut(&coming.grant.endpoint) {
@@ -316,9 +316,9 @@
                     self.fiftieth = Some(coming.at_ms);
                 }
             }
-            self.pool.end(now, &coming.grant, 0, coming.outcome);
+            self.pool.end_request(now, &coming.grant, 0, coming.outcome);
             for (_, settled) in self.pool.settle(now) {
-                if let Settled::Granted(grant) = settled {
+                if let QueueDecision::Granted(grant) = settled {
                     self.send(coming.at_ms, &grant);
                 }
             }
