--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -54,7 +54,7 @@
     }
 
     /// Replaces the list of endpoints by one that was read now.
-    pub fn endpoints(&self, list: Vec<gateway::RosterEntry>) {
+    pub fn set_endpoints(&self, list: Vec<gateway::RosterEntry>) {
         let now = self.now();
         self.change_endpoints(now, |roster| roster.replace(now, list));
     }
@@ -88,12 +88,12 @@
     }
 
     /// Records that the source of the endpoints did not answer.
-    pub fn endpoints_unknown(&self) {
+    pub fn record_endpoints_failure(&self) {
         self.shared.core().roster.failed();
     }
 
     /// Replaces the list of all daemons.
-    pub fn members(&self, list: &[gateway::Peer]) {
+    pub fn set_members(&self, list: &[gateway::Peer]) {
         let now = self.now();
         let mut core = self.shared.core();
         let before = core.mesh.others();
@@ -143,25 +143,25 @@
 
     /// Records whether the source answered this daemon's last call, which decides which daemons read the
     /// source for others.
-    pub fn answered(&self, is_answered: bool) {
+    pub fn record_store_answer(&self, is_answered: bool) {
         if self.shared.core().mesh.note_answer(is_answered) {
             self.shared.set_changed();
         }
     }
 
     /// Logs that a dependency of the daemon does not answer.
-    pub fn lost(&self, dependency: &'static str, reason: String) {
+    pub fn log_outage(&self, dependency: &'static str, reason: String) {
         self.shared.journal.write(&record::Event::Lost { dependency, reason });
     }
 
     /// Logs that a dependency answers again, after an outage of length `after`.
-    pub fn regained(&self, dependency: &'static str, after: time::Duration) {
+    pub fn log_recovery(&self, dependency: &'static str, after: time::Duration) {
         let after_ms = after.as_millis() as u64;
         self.shared.journal.write(&record::Event::Regained { dependency, after_ms });
     }
 
     /// Logs that the settings were read again.
-    pub fn reloaded(&self, detail: String) {
+    pub fn log_reload(&self, detail: String) {
         self.shared.journal.write(&record::Event::Reloaded { detail });
     }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -17,7 +17,7 @@
 impl feed::Feed {
     /// Returns whether this daemon is the one that stores the crashes which must outlast a restart of all
     /// daemons.
-    pub fn keeps_crashes(&self) -> bool {
+    pub fn stores_crashes(&self) -> bool {
         let core = self.shared.core();
         core.mesh.readers(self.now()).first() == Some(&core.mesh.own())
     }
@@ -33,7 +33,7 @@
     }
 
     /// Loads crashes that were stored `since_ms` milliseconds ago.
-    pub fn recall_crashes(&self, mut crashes: Vec<gateway::Crash>, since_ms: u32) {
+    pub fn load_crashes(&self, mut crashes: Vec<gateway::Crash>, since_ms: u32) {
         for crash in &mut crashes {
             crash.age_ms = crash.age_ms.saturating_add(since_ms);
         }
--- a/crates/gateway/src/query.rs
+++ b/crates/gateway/src/query.rs
@@ -66,7 +66,7 @@
 
     /// Returns how long it takes until this daemon can tell which endpoints are gone; zero if it already
     /// can.
-    pub fn settles_in(&self) -> time::Duration {
+    pub fn time_to_settle(&self) -> time::Duration {
         self.shared.core().roster.settles_in(self.now())
     }
 
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -12,7 +12,7 @@
 
 impl feed::Feed {
     /// Handles the rollouts in the store: the orders, and the stages they have reached.
-    pub fn rollouts(&self, rollouts: &[gateway::Rollout]) {
+    pub fn apply_rollouts(&self, rollouts: &[gateway::Rollout]) {
         let changes = self.shared.apply_rollouts(rollouts);
         if !changes.is_empty() {
             self.shared.broadcast_rollouts(&changes);
@@ -36,7 +36,7 @@
     }
 
     /// Applies a stage that was stored.
-    pub fn rollout_written(&self, rollout: &gateway::Rollout) {
+    pub fn record_stored_rollout(&self, rollout: &gateway::Rollout) {
         self.shared.apply_decision(rollout);
     }
 }
--- a/crates/gateway/tests/testsuite/crashes.rs
+++ b/crates/gateway/tests/testsuite/crashes.rs
@@ -67,7 +67,7 @@
 /// Gives each gateway the list of all of them.
 fn connect(gateways: &[TestGateway]) {
     for gateway in gateways {
-        gateway.feed.members(&members(gateways));
+        gateway.feed.set_members(&members(gateways));
     }
     thread::sleep(Duration::from_millis(400));
 }
@@ -75,7 +75,7 @@
 /// Checks that after [`DETECTION_TIME`] no gateway sends the request to a fourth endpoint.
 fn check_refused(gateways: &[TestGateway], endpoints: &[Endpoint]) {
     for gateway in gateways {
-        gateway.feed.endpoints(only_active(3, endpoints));
+        gateway.feed.set_endpoints(only_active(3, endpoints));
     }
     thread::sleep(DETECTION_TIME);
     for (number, gateway) in gateways.iter().enumerate() {
@@ -90,10 +90,10 @@
     endpoints.push(Endpoint::start(vec![vec![Step::Answer("whole")]]));
     let gateway = TestGateway::start(&[]);
     for (index, endpoint) in endpoints[..3].iter().enumerate() {
-        gateway.feed.endpoints(only_active(index, &endpoints));
+        gateway.feed.set_endpoints(only_active(index, &endpoints));
         crash_endpoint(&gateway, endpoint);
     }
-    gateway.feed.endpoints(only_active(3, &endpoints));
+    gateway.feed.set_endpoints(only_active(3, &endpoints));
     let reply = gateway.request(CRASHING_REQUEST);
     assert_eq!(endpoints[3].requests().len(), 0, "sent to a fourth endpoint");
     let reply = reply.unwrap();
@@ -108,7 +108,7 @@
     let gateways = start_members(5);
     for index in 0..3 {
         for gateway in &gateways {
-            gateway.feed.endpoints(only_active(index, &endpoints));
+            gateway.feed.set_endpoints(only_active(index, &endpoints));
         }
         crash_endpoint(&gateways[index], &endpoints[index]);
     }
@@ -120,7 +120,7 @@
     let endpoints: Vec<_> = (0..6).map(|_| crashing_endpoint()).collect();
     let gateway = TestGateway::start(&[]);
     gateway.reconfigure(2, |config| config.routes[3].attempts = 6);
-    gateway.feed.endpoints(harness::entries(&endpoints.iter().collect::<Vec<_>>()));
+    gateway.feed.set_endpoints(harness::entries(&endpoints.iter().collect::<Vec<_>>()));
     let reply = gateway.request("POST /resume/7");
     assert!(reply.as_ref().is_none_or(|reply| !reply.is_complete), "{reply:?}");
     assert_eq!(request_count(&endpoints), 3);
@@ -132,12 +132,12 @@
     let endpoints = [crashing_endpoint(), crashing_endpoint(), Endpoint::start(vec![slow])];
     let gateway = TestGateway::start(&[]);
     for (index, endpoint) in endpoints[..2].iter().enumerate() {
-        gateway.feed.endpoints(only_active(index, &endpoints));
+        gateway.feed.set_endpoints(only_active(index, &endpoints));
         crash_endpoint(&gateway, endpoint);
     }
     let mut entries = only_active(2, &endpoints);
     entries[2].slots = 1;
-    gateway.feed.endpoints(entries);
+    gateway.feed.set_endpoints(entries);
     let send = || {
         let mut caller = gateway.caller();
         let headers = [("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")];
@@ -167,7 +167,7 @@
         if index == 2 {
             gateways.drain(2..4);
         }
-        gateways[0].feed.endpoints(only_active(index, &endpoints));
+        gateways[0].feed.set_endpoints(only_active(index, &endpoints));
         crash_endpoint(&gateways[0], endpoint);
     }
     check_refused(&gateways, &endpoints);
@@ -180,7 +180,7 @@
     let endpoints: Vec<_> = (0..4).map(|_| crashing_endpoint()).collect();
     let mut gateways = start_members(3);
     for (index, endpoint) in endpoints[..3].iter().enumerate() {
-        gateways[0].feed.endpoints(only_active(index, &endpoints));
+        gateways[0].feed.set_endpoints(only_active(index, &endpoints));
         crash_endpoint(&gateways[0], endpoint);
     }
     gateways.extend((0..3).map(|_| TestGateway::start(&[])));
@@ -206,7 +206,7 @@
     let gateways = start_members(2);
     for index in 0..5 {
         for gateway in &gateways {
-            gateway.feed.endpoints(only_active(index, &endpoints));
+            gateway.feed.set_endpoints(only_active(index, &endpoints));
         }
         // The request crashes an endpoint at one gateway and is answered at the other.
         let reply = gateways[usize::from(index == 2)].request("POST /once/7").unwrap();
--- a/crates/gateway/tests/testsuite/drains.rs
+++ b/crates/gateway/tests/testsuite/drains.rs
@@ -12,7 +12,7 @@
     assert_eq!(gateway.request("GET /once/").unwrap().body, "leaving");
     let mut list = entries(&[&leaving, &staying]);
     list[0].draining = true;
-    gateway.feed.endpoints(list);
+    gateway.feed.set_endpoints(list);
     for _ in 0..5 {
         assert_eq!(gateway.request("GET /once/").unwrap().body, "staying");
     }
@@ -35,7 +35,7 @@
     caller.read_first_event();
     let mut list = entries(&[&leaving]);
     list[0].draining = true;
-    gateway.feed.endpoints(list);
+    gateway.feed.set_endpoints(list);
     let reply = caller.read_reply().unwrap();
     assert_eq!((reply.body.as_str(), reply.is_complete), ("id: 1\n\nid: 2\n\n", true));
 }
@@ -47,8 +47,8 @@
     gateway.request("GET /once/").unwrap();
     let mut list = entries(&[&endpoint]);
     list[0].endpoint = "second".into();
-    gateway.feed.endpoints_unknown();
-    gateway.feed.endpoints(list);
+    gateway.feed.record_endpoints_failure();
+    gateway.feed.set_endpoints(list);
     gateway.request("GET /once/").unwrap();
     gateway.request("GET /once/").unwrap();
     let named: Vec<_> =
--- a/crates/gateway/tests/testsuite/failures.rs
+++ b/crates/gateway/tests/testsuite/failures.rs
@@ -16,7 +16,7 @@
     // Puts the second endpoint in another zone, so that the first one is preferred.
     let mut entries = crate::harness::entries(&[&first, &second]);
     entries[1].zone = "b".into();
-    gateway.feed.endpoints(entries);
+    gateway.feed.set_endpoints(entries);
     let reply = gateway.request(line).unwrap();
     (reply.status, first.requests().len(), second.requests().len())
 }
@@ -95,7 +95,7 @@
     let mut entries = crate::harness::entries(&[&endpoint, &endpoint]);
     entries[0].address = gone;
     entries[1].zone = "b".into();
-    gateway.feed.endpoints(entries);
+    gateway.feed.set_endpoints(entries);
     assert_eq!(gateway.request("POST /once/").unwrap().status, 200);
 }
 
--- a/crates/gateway/tests/testsuite/harness/test_gateway.rs
+++ b/crates/gateway/tests/testsuite/harness/test_gateway.rs
@@ -48,9 +48,9 @@
     /// Gives the gateway the default configuration and `endpoints`.
     pub(crate) fn configure(&self, endpoints: &[&Endpoint]) {
         let own = Peer { address: self.addresses.peers, strength: Strength::UNKNOWN };
-        self.feed.members(&[own]);
+        self.feed.set_members(&[own]);
         self.feed.configure(config(1), Some(self.feed.now()));
-        self.feed.endpoints(entries(endpoints));
+        self.feed.set_endpoints(entries(endpoints));
     }
 
     pub(crate) fn caller(&self) -> Caller {
--- a/crates/gateway/tests/testsuite/peers.rs
+++ b/crates/gateway/tests/testsuite/peers.rs
@@ -16,7 +16,7 @@
 fn connect(gateways: &[TestGateway]) {
     let members: Vec<_> = gateways.iter().map(|gateway| peer(gateway.addresses.peers)).collect();
     for gateway in gateways {
-        gateway.feed.members(&members);
+        gateway.feed.set_members(&members);
     }
     // Each gateway sends the others a digest at least every quarter of a second.
     thread::sleep(Duration::from_millis(400));
@@ -134,7 +134,7 @@
     // One of the silent daemons is asked before this gateway, because this one has just started.
     let peers: Vec<_> = (0..2).map(|_| SilentPeer::start(vec![gateway.addresses.peers])).collect();
     let members = peers.iter().map(|peer| peer.address).chain([gateway.addresses.peers]);
-    gateway.feed.members(&members.map(peer).collect::<Vec<_>>());
+    gateway.feed.set_members(&members.map(peer).collect::<Vec<_>>());
     thread::sleep(Duration::from_millis(200));
     // The route's timeout is two seconds.
     assert_eq!(gateway.request("GET /once/").unwrap().status, 200);
@@ -172,7 +172,7 @@
     });
     let own = gateway.addresses.peers;
     let socket = second_keeper(own);
-    gateway.feed.members(&[peer(own), peer(socket.local_addr().unwrap())]);
+    gateway.feed.set_members(&[peer(own), peer(socket.local_addr().unwrap())]);
     let send = |message: &Message| {
         socket.send_to(&rmp_serde::to_vec(message).unwrap(), own).unwrap();
     };
@@ -197,7 +197,7 @@
     let socket = net::UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
     let own = gateway.addresses.peers;
-    gateway.feed.members(&[peer(own), peer(socket.local_addr().unwrap())]);
+    gateway.feed.set_members(&[peer(own), peer(socket.local_addr().unwrap())]);
     let now = Timestamp::ZERO;
     let pool_request = PoolRequest {
         route: 0,
@@ -259,7 +259,7 @@
         (1..=1).map(|port| net::SocketAddr::from(([127, 0, 0, 1], port))).collect();
     for gateway in &gateways {
         let own = gateway.addresses.peers;
-        gateway.feed.members(&[peer(own), peer(missing[0])]);
+        gateway.feed.set_members(&[peer(own), peer(missing[0])]);
     }
     thread::sleep(Duration::from_millis(1_100));
     let served = serve(2);
--- a/crates/gateway/tests/testsuite/quotas.rs
+++ b/crates/gateway/tests/testsuite/quotas.rs
@@ -35,7 +35,7 @@
     let own = peer(gateway.addresses.peers);
     let other = peer(([127, 0, 0, 1], 9).into());
     let listed = |list: &[Peer]| {
-        gateway.feed.members(list);
+        gateway.feed.set_members(list);
         gateway.feed.member_count()
     };
     assert_eq!(listed(&[own, other]), 2);
--- a/crates/gateway/tests/testsuite/streams.rs
+++ b/crates/gateway/tests/testsuite/streams.rs
@@ -52,7 +52,7 @@
     let gateway = TestGateway::start(&[]);
     let mut entries = crate::harness::entries(&[&first, &second]);
     entries[1].zone = "b".into();
-    gateway.feed.endpoints(entries);
+    gateway.feed.set_endpoints(entries);
     let reply = gateway.request("POST /resume/").unwrap();
     (reply, first, second)
 }
