--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -83,7 +83,7 @@
     /// progress end or the grace period is over.
     pub async fn stop(&self) -> usize {
         let started = tokio::time::Instant::now();
-        let limit = started + self.shared.settings.grace.saturating_sub(CLOSE_TIME);
+        let limit = started + self.shared.settings.stop_grace.saturating_sub(CLOSE_TIME);
         let active = self.shared.gate.in_progress();
         self.shared.journal.write(&record::Event::Stopping { active });
         self.shared.begin_stop(limit.saturating_duration_since(started));
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -37,7 +37,7 @@
     shutdown: tokio_sync::CancellationToken,
 ) -> std::io::Result<()> {
     let mut buffer = vec![0; MAX_DATAGRAM];
-    let mut tick = tokio::time::interval(shared.settings.exchange);
+    let mut tick = tokio::time::interval(shared.settings.gossip_interval);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut schedule = SendSchedule::new();
     loop {
--- a/crates/gateway/src/ingress/call.rs
+++ b/crates/gateway/src/ingress/call.rs
@@ -85,7 +85,7 @@
         let limit = wait_limit.min(time::Duration::from_millis(route.timeout_ms));
         let (prompt, max_tokens) = tokens.unwrap_or((0, 0));
         let model = names::text(&head.headers, &names.model).unwrap_or_default();
-        let parts = names::text(&head.headers, &names.parts);
+        let parts = names::text(&head.headers, &names.prompt_parts);
         let parts = parts.map_or_else(Vec::new, |text| gateway::prompt_parts(model, text));
         let expected =
             expected_tokens(max_tokens, names::number(&head.headers, &names.length_hint));
--- a/crates/gateway/src/ingress/connections.rs
+++ b/crates/gateway/src/ingress/connections.rs
@@ -24,7 +24,7 @@
             () = draining.cancelled() => break,
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) if connections.len() < shared.settings.connections => {
+                Ok((stream, _)) if connections.len() < shared.settings.max_connections => {
                     let served = serve_one(sync::Arc::clone(&shared), stream, draining.clone());
                     connections.spawn(served);
                 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -29,6 +29,6 @@
 pub use feed::Feed;
 pub use gateway::Gateway;
 pub use names::HeaderNames;
-pub use query::Readers;
+pub use query::ReaderStatus;
 pub use record::{Asked, Dropped, Event, Journal, Tried};
 pub use settings::{Listen, Settings};
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -27,7 +27,7 @@
     /// The model that the request is for.
     pub model: HeaderName,
     /// The parts of the prompt that other requests may share as a prefix: `ID:TOKENS`, separated by commas.
-    pub parts: HeaderName,
+    pub prompt_parts: HeaderName,
     /// The caller's estimate of the number of tokens to be generated.
     pub length_hint: HeaderName,
     /// The id of the last stream event that was received.
@@ -49,7 +49,7 @@
             rate_limit: HeaderName::from_static("trefoildyke-rate-limit"),
             tokens: HeaderName::from_static("trefoildyke-tokens"),
             model: HeaderName::from_static("trefoildyke-model"),
-            parts: HeaderName::from_static("trefoildyke-prompt-parts"),
+            prompt_parts: HeaderName::from_static("trefoildyke-prompt-parts"),
             length_hint: HeaderName::from_static("trefoildyke-length-hint"),
             last_event: HeaderName::from_static("last-event-id"),
             reserved: Vec::new(),
--- a/crates/gateway/src/query.rs
+++ b/crates/gateway/src/query.rs
@@ -31,13 +31,13 @@
 
 /// What the daemons that read the store for others know of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Readers {
+pub enum ReaderStatus {
     /// A reader knows that this version is in force.
     Fresh(u64),
     /// The readers that replied have had no answer from the store for a while.
     Silent,
     /// No reader replied.
-    Unheard,
+    Unreachable,
 }
 
 /// The queries that wait for replies.
@@ -72,8 +72,8 @@
 
     /// Queries the readers of the store, and confirms the configuration if one of them has a fresh
     /// confirmation.
-    pub async fn query_readers(&self) -> Readers {
-        let mut found = Readers::Unheard;
+    pub async fn query_readers(&self) -> ReaderStatus {
+        let mut found = ReaderStatus::Unreachable;
         let readers = self.shared.core().mesh.readers_to_ask(self.now());
         for (index, reader) in readers.into_iter().enumerate() {
             let sent_at = self.now();
@@ -91,20 +91,24 @@
             };
             let age = time::Duration::from_millis(u64::from(reply.view.confirmed));
             if age >= MAX_CONFIRMATION_AGE {
-                if found == Readers::Unheard {
-                    found = Readers::Silent;
+                if found == ReaderStatus::Unreachable {
+                    found = ReaderStatus::Silent;
                 }
                 continue;
             }
             found = match found {
-                Readers::Fresh(version) => Readers::Fresh(version.max(reply.view.version)),
-                Readers::Silent | Readers::Unheard => Readers::Fresh(reply.view.version),
+                ReaderStatus::Fresh(version) => {
+                    ReaderStatus::Fresh(version.max(reply.view.version))
+                }
+                ReaderStatus::Silent | ReaderStatus::Unreachable => {
+                    ReaderStatus::Fresh(reply.view.version)
+                }
             };
             if self.apply_reply(sent_at, roster, reply) {
                 return found;
             }
         }
-        if found == Readers::Silent {
+        if found == ReaderStatus::Silent {
             let mut core = self.shared.core();
             // While the store is silent, endpoints cannot renew their entries either.
             core.roster.failed();
@@ -134,7 +138,7 @@
     /// Returns whether the list of endpoints, read here or by the daemon that sent it, is recent enough to
     /// tell which entries are gone without reading it again.
     pub fn endpoints_are_current(&self) -> bool {
-        self.shared.core().roster.is_current(self.now(), self.shared.settings.list_age)
+        self.shared.core().roster.is_current(self.now(), self.shared.settings.max_list_age)
     }
 
     /// Applies a reply to a query that was sent at `sent_at` with the hash `roster` of this daemon's list of
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -23,37 +23,37 @@
     /// The parameters of the endpoint pools.
     pub pool: gateway::PoolParams,
     /// How long keys stay valid after the last confirmation of the configuration; 3.5 s.
-    pub key_age: time::Duration,
+    pub max_key_age: time::Duration,
     /// The age of the last confirmation from which on the gateway reports that it is not ready; 2.5 s.
-    pub ready_age: time::Duration,
+    pub max_ready_age: time::Duration,
     /// The age up to which a list of endpoints counts as current, whichever daemon read it, so that this
     /// daemon need not read it itself; 1.6 s.
-    pub list_age: time::Duration,
+    pub max_list_age: time::Duration,
     /// How long an endpoint that is missing from the list is kept after an outage of the list's source; 2.2
     /// s.
     pub list_grace: time::Duration,
     /// The ratio of repeated sends to requests that all daemons together stay within; 0.2.
     pub retry_ratio: f64,
     /// The number of repeated sends allowed in addition to the ratio, over all daemons; 50.
-    pub retry_fixed: f64,
+    pub retry_allowance: f64,
     /// The window in which repeated sends are counted; 10 s.
     pub retry_window: time::Duration,
     /// The parameters of quotas.
     pub quota: gateway::QuotaParams,
     /// The share of a service's requests that a bad version may get; 0.1.
-    pub exposure: f64,
+    pub canary_share: f64,
     /// The parameters for detecting requests that crash endpoints.
     pub quarantine: gateway::QuarantineParams,
     /// How long a graceful stop may take before requests are cut off; 8 s.
-    pub grace: time::Duration,
+    pub stop_grace: time::Duration,
     /// The timeout for opening a connection to an endpoint; 400 ms.
     ///
     /// This is about forty round trips within a region.
-    pub connect: time::Duration,
+    pub connect_timeout: time::Duration,
     /// How often changes are sent to the other daemons; 50 ms.
-    pub exchange: time::Duration,
+    pub gossip_interval: time::Duration,
     /// The limit on concurrent caller connections; 2,000.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// The addresses on which a gateway listens.
@@ -79,20 +79,20 @@
             names: names::HeaderNames::default(),
             strength: gateway::Strength::UNKNOWN,
             pool: gateway::PoolParams::default(),
-            key_age: time::Duration::from_millis(3_500),
-            ready_age: time::Duration::from_millis(2_500),
-            list_age: time::Duration::from_millis(1_600),
+            max_key_age: time::Duration::from_millis(3_500),
+            max_ready_age: time::Duration::from_millis(2_500),
+            max_list_age: time::Duration::from_millis(1_600),
             list_grace: time::Duration::from_millis(2_200),
             retry_ratio: 0.2,
-            retry_fixed: 50.0,
+            retry_allowance: 50.0,
             retry_window: time::Duration::from_secs(10),
             quota: gateway::QuotaParams::default(),
-            exposure: 0.1,
+            canary_share: 0.1,
             quarantine: gateway::QuarantineParams::default(),
-            grace: time::Duration::from_secs(8),
-            connect: time::Duration::from_millis(400),
-            exchange: time::Duration::from_millis(50),
-            connections: 2_000,
+            stop_grace: time::Duration::from_secs(8),
+            connect_timeout: time::Duration::from_millis(400),
+            gossip_interval: time::Duration::from_millis(50),
+            max_connections: 2_000,
         }
     }
 }
--- a/crates/gateway/src/state/core.rs
+++ b/crates/gateway/src/state/core.rs
@@ -27,7 +27,7 @@
     pub(crate) quarantine: gateway::Quarantine,
     pub(crate) rollouts: gateway::Rollouts,
     /// The share of a service's requests that a bad version may get.
-    exposure: f64,
+    canary_share: f64,
     started: Timestamp,
     /// When this daemon wrote its membership entry again after it had lapsed.
     pub(crate) rejoined: Option<Timestamp>,
@@ -67,9 +67,9 @@
     pub(crate) fn new(settings: &settings::Settings, incarnation: u64) -> Self {
         Self {
             pool_params: settings.pool.clone(),
-            retry: (settings.retry_window, settings.retry_ratio, settings.retry_fixed),
+            retry: (settings.retry_window, settings.retry_ratio, settings.retry_allowance),
             table: None,
-            freshness: gateway::Freshness::new(settings.key_age),
+            freshness: gateway::Freshness::new(settings.max_key_age),
             quota: gateway::Quota::new(settings.quota),
             mesh: gateway::Mesh::new(settings.listen.peers, PEER_SILENCE)
                 .with_strength(settings.strength),
@@ -79,7 +79,7 @@
             deadlines: gateway::Deadlines::default(),
             quarantine: gateway::Quarantine::new(settings.quarantine),
             rollouts: gateway::Rollouts::default(),
-            exposure: settings.exposure,
+            canary_share: settings.canary_share,
             started: Timestamp::ZERO,
             rejoined: None,
             incarnation,
@@ -337,7 +337,7 @@
     pub(crate) fn set_gates(&mut self, now: Timestamp) {
         let is_fresh = self.freshness.is_within(now, TRIAL_FRESHNESS);
         for (name, service) in &mut self.services {
-            let gate = self.rollouts.gate(name, self.exposure, is_fresh);
+            let gate = self.rollouts.gate(name, self.canary_share, is_fresh);
             service.pool.set_gate(now, gate);
         }
     }
--- a/crates/gateway/src/state/shared.rs
+++ b/crates/gateway/src/state/shared.rs
@@ -46,7 +46,7 @@
         metrics: metrics::Metrics,
     ) -> Self {
         let core = sync::Mutex::new(state::Core::new(&settings, rand::random()));
-        let connections = upstream::ConnectionPool::new(settings.connect);
+        let connections = upstream::ConnectionPool::new(settings.connect_timeout);
         Self {
             settings,
             clock: clock::Clock::start(),
@@ -217,7 +217,7 @@
         let now = self.now();
         let core = self.core();
         let is_known = core.table.is_some() && !core.roster.is_empty();
-        let is_fresh = core.freshness.is_within(now, self.settings.ready_age);
+        let is_fresh = core.freshness.is_within(now, self.settings.max_ready_age);
         (is_known && is_fresh && !self.is_stopping(), core.freshness.age(now))
     }
 }
--- a/crates/gateway/tests/testsuite/harness/test_gateway.rs
+++ b/crates/gateway/tests/testsuite/harness/test_gateway.rs
@@ -25,8 +25,8 @@
         let free: net::SocketAddr = "127.0.0.1:0".parse().unwrap();
         let listen = Listen { callers: free, ready: free, metrics: Some(free), peers: free };
         let mut settings = Settings::new("host-1".into(), "a".into(), listen);
-        settings.key_age = time::Duration::from_secs(60);
-        settings.ready_age = time::Duration::from_secs(60);
+        settings.max_key_age = time::Duration::from_secs(60);
+        settings.max_ready_age = time::Duration::from_secs(60);
         // A gateway has no share of the fixed number of retries in its first window, so the ratio alone
         // must allow the retries of the tests.
         settings.retry_ratio = 5.0;
--- a/crates/gateway/tests/testsuite/keys.rs
+++ b/crates/gateway/tests/testsuite/keys.rs
@@ -44,7 +44,7 @@
 fn keys_are_refused_when_the_last_confirmation_is_too_old() {
     let endpoint = endpoint();
     let gateway =
-        TestGateway::unconfigured(|settings| settings.key_age = Duration::from_millis(400));
+        TestGateway::unconfigured(|settings| settings.max_key_age = Duration::from_millis(400));
     gateway.configure(&[&endpoint]);
     assert_eq!(status(&gateway, "GET /once/"), 200);
     std::thread::sleep(Duration::from_millis(450));
@@ -63,7 +63,7 @@
 fn a_late_confirmation_counts_from_the_time_of_its_query() {
     let endpoint = endpoint();
     let gateway =
-        TestGateway::unconfigured(|settings| settings.key_age = Duration::from_millis(300));
+        TestGateway::unconfigured(|settings| settings.max_key_age = Duration::from_millis(300));
     gateway.configure(&[&endpoint]);
     let asked = gateway.feed.now();
     std::thread::sleep(Duration::from_millis(350));
--- a/crates/gateway/tests/testsuite/stops.rs
+++ b/crates/gateway/tests/testsuite/stops.rs
@@ -14,7 +14,7 @@
 fn the_gateway_is_ready_only_with_a_fresh_configuration_and_endpoints() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("x")]]);
     let gateway =
-        TestGateway::unconfigured(|settings| settings.ready_age = Duration::from_millis(300));
+        TestGateway::unconfigured(|settings| settings.max_ready_age = Duration::from_millis(300));
     assert_eq!(ready(&gateway), 503);
     gateway.configure(&[&endpoint]);
     assert_eq!(ready(&gateway), 200);
@@ -34,7 +34,8 @@
         ],
         vec![Step::Answer("late")],
     ]);
-    let gateway = TestGateway::unconfigured(|settings| settings.grace = Duration::from_secs(5));
+    let gateway =
+        TestGateway::unconfigured(|settings| settings.stop_grace = Duration::from_secs(5));
     gateway.configure(&[&endpoint]);
     let mut stream = gateway.caller();
     stream.send("POST /stream/", &[("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")], "");
@@ -64,7 +65,8 @@
 fn a_stop_ends_at_its_grace_period_and_counts_requests_cut_off() {
     let pause = Step::Pause(Duration::from_secs(30));
     let endpoint = Endpoint::start(vec![vec![Step::Stream, Step::Events("id: 1\n\n"), pause]]);
-    let gateway = TestGateway::unconfigured(|settings| settings.grace = Duration::from_secs(1));
+    let gateway =
+        TestGateway::unconfigured(|settings| settings.stop_grace = Duration::from_secs(1));
     gateway.configure(&[&endpoint]);
     let mut stream = gateway.caller();
     stream.send("POST /stream/", &[("trefoildyke-request-id", "r"), ("trefoildyke-key", "k1")], "");
@@ -79,7 +81,8 @@
 #[test]
 fn a_request_that_would_outlast_a_stop_is_refused_and_a_short_one_served() {
     let endpoint = Endpoint::start(vec![vec![Step::Answer("short")]]);
-    let gateway = TestGateway::unconfigured(|settings| settings.grace = Duration::from_secs(5));
+    let gateway =
+        TestGateway::unconfigured(|settings| settings.stop_grace = Duration::from_secs(5));
     gateway.configure(&[&endpoint]);
     let addresses = gateway.addresses;
     let stopping = std::thread::spawn(move || gateway.stop());
--- a/crates/gateway/tests/testsuite/streams.rs
+++ b/crates/gateway/tests/testsuite/streams.rs
@@ -108,7 +108,7 @@
     ]]);
     let gateway = TestGateway::unconfigured(|settings| {
         settings.retry_ratio = 0.0;
-        settings.retry_fixed = 0.0;
+        settings.retry_allowance = 0.0;
     });
     gateway.configure(&[&endpoint]);
     gateway.reconfigure(2, |config| config.routes[3].timeout_ms = 4_000);
