--- a/crates/decide/src/gateway/pool/versions.rs
+++ b/crates/decide/src/gateway/pool/versions.rs
@@ -174,7 +174,7 @@
     /// These are the number of requests placed since the canary started and how many of them it got; and
     /// the answers of the current version and of the canary version, first with the count of failures, then
     /// with the count of answers that arrived far too late.
-    pub fn canary_counts(&self) -> ((u64, u64), [(Answers, Answers); 2]) {
+    pub fn canary_request_counts(&self) -> ((u64, u64), [(Answers, Answers); 2]) {
         let answers = [self.versions.failures.answers(), self.versions.delays.answers()];
         (self.versions.exposure.counts(), answers)
     }
--- a/crates/decide/src/gateway/quarantine/mod.rs
+++ b/crates/decide/src/gateway/quarantine/mod.rs
@@ -163,7 +163,7 @@
     }
 
     /// Returns the number of endpoints known to have crashed during a request.
-    pub fn ends(&self, now: Timestamp, fingerprint: gateway::Fingerprint) -> usize {
+    pub fn crash_count(&self, now: Timestamp, fingerprint: gateway::Fingerprint) -> usize {
         self.suspects.get(&fingerprint).map_or(0, |suspect| suspect.counted(now).len())
     }
 
@@ -182,7 +182,7 @@
         let new =
             self.quarantined.difference(&before).map(|fingerprint| QuarantineChange::Quarantined {
                 fingerprint: *fingerprint,
-                crashes: self.ends(now, *fingerprint),
+                crashes: self.crash_count(now, *fingerprint),
             });
         let gone = before.difference(&self.quarantined).copied().map(QuarantineChange::Released);
         new.chain(gone).collect()
--- a/crates/decide/tests/testsuite/gateway/quarantine.rs
+++ b/crates/decide/tests/testsuite/gateway/quarantine.rs
@@ -149,7 +149,7 @@
     roster.replace(at(ENTRY_TTL_MS), list());
     let changes = compare(&mut quarantine, &roster, ENTRY_TTL_MS).unwrap();
     assert_eq!(changes, [QuarantineChange::Released(request(1))]);
-    assert_eq!(quarantine.ends(at(ENTRY_TTL_MS), request(1)), 1);
+    assert_eq!(quarantine.crash_count(at(ENTRY_TTL_MS), request(1)), 1);
 }
 
 /// While the store is unavailable, entries of crashed endpoints may stay.
--- a/crates/decide/tests/testsuite/gateway/rollouts.rs
+++ b/crates/decide/tests/testsuite/gateway/rollouts.rs
@@ -219,12 +219,12 @@
     for is_fresh in [false, true] {
         pool.set_gate(at(20_000), rollouts.gate(&"assistant".into(), SHARE, is_fresh));
     }
-    let ((placed, _), [(_, new), _]) = pool.canary_counts();
+    let ((placed, _), [(_, new), _]) = pool.canary_request_counts();
     assert_eq!(placed, played.len() as u64);
     assert!(new.count > 0);
     let again = known(&[rollout(6, Stage::Canary)]);
     pool.set_gate(at(20_000), again.gate(&"assistant".into(), SHARE, true));
-    assert_eq!(pool.canary_counts().0, (0, 0));
+    assert_eq!(pool.canary_request_counts().0, (0, 0));
 }
 
 /// Each daemon that takes over the placing of requests starts with empty counts, and keeps to the
--- a/crates/gateway/src/ingress/access.rs
+++ b/crates/gateway/src/ingress/access.rs
@@ -17,7 +17,7 @@
     account: Option<id::AccountName>,
     version: u64,
     /// What the request asks for, once it was read.
-    asked: record::Asked,
+    asked: record::RequestInputs,
     /// The other daemon that granted or refused the last slot.
     placer: Option<std::net::SocketAddr>,
     /// How the request ended; a request that is dropped without an outcome was abandoned by its caller.
@@ -42,7 +42,7 @@
             route: String::new(),
             account: None,
             version: 0,
-            asked: record::Asked::default(),
+            asked: record::RequestInputs::default(),
             placer: None,
             outcome: "caller_left",
             status: 0,
@@ -74,7 +74,7 @@
     }
 
     /// Records the inputs of the decisions on the request's quota, rank and slot.
-    pub(crate) const fn set_asked(&mut self, asked: record::Asked) {
+    pub(crate) const fn set_asked(&mut self, asked: record::RequestInputs) {
         self.asked = asked;
     }
 
--- a/crates/gateway/src/ingress/call.rs
+++ b/crates/gateway/src/ingress/call.rs
@@ -92,7 +92,7 @@
         let time_spent = shared.core().deadlines.time_spent(&route.name, wait_limit);
         let cost = admission.cost(tokens);
         let rank = rank(route, admission.account.as_ref());
-        access.set_asked(record::Asked {
+        access.set_asked(record::RequestInputs {
             fingerprint: Some(fingerprint),
             rank: Some(rank),
             prompt,
--- a/crates/gateway/src/ingress/driver/end.rs
+++ b/crates/gateway/src/ingress/driver/end.rs
@@ -51,7 +51,11 @@
                 .map_or_else(|| "".into(), |grant| grant.endpoint.clone()),
             after_ms: self.shared.now().since(self.sent_at).as_millis() as u64,
             failure: failed.failure,
-            ends: self.shared.core().quarantine.ends(self.shared.now(), self.call.fingerprint),
+            ends: self
+                .shared
+                .core()
+                .quarantine
+                .crash_count(self.shared.now(), self.call.fingerprint),
             detail: failed.detail.clone(),
             next,
             repeats: usage.retries,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -25,7 +25,7 @@
 
 impl Metrics {
     /// Creates the instruments; `dropped` counts the dropped log lines.
-    pub(crate) fn new(dropped: record::Dropped) -> anyhow::Result<Self> {
+    pub(crate) fn new(dropped: record::DropCounter) -> anyhow::Result<Self> {
         let registry = prometheus::Registry::new();
         let exporter =
             opentelemetry_prometheus::exporter().with_registry(registry.clone()).build()?;
--- a/crates/gateway/src/record/event.rs
+++ b/crates/gateway/src/record/event.rs
@@ -5,7 +5,7 @@
 
 /// What a request asked for: the inputs of the decisions on its quota, rank and slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Asked {
+pub struct RequestInputs {
     /// Identifies repeats of the same request; `None` if it was refused before it was read.
     pub fingerprint: Option<gateway::Fingerprint>,
     /// The rank in the queue; `None` if it was refused before it had one.
@@ -24,7 +24,7 @@
 
 /// The measurements of a version on trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Tried {
+pub struct TrialStats {
     /// Requests that were placed since the trial began.
     pub placed: u64,
     /// Those of them that went to the new version.
@@ -210,7 +210,7 @@
         decided: bool,
         /// The measurements on which the decision is based.
         #[serde(flatten)]
-        seen: Option<Tried>,
+        seen: Option<TrialStats>,
     },
     /// A stream was resumed at another endpoint.
     Resumed {
@@ -233,7 +233,7 @@
         version: u64,
         /// What the request asked for; empty if it was refused before that was read.
         #[serde(flatten)]
-        asked: Asked,
+        asked: RequestInputs,
         /// The other daemon that granted or refused its last slot, by its address for messages.
         placer: Option<std::net::SocketAddr>,
         /// How it ended.
--- a/crates/gateway/src/record/journal.rs
+++ b/crates/gateway/src/record/journal.rs
@@ -12,9 +12,9 @@
 
 /// Counts the lines that were dropped because the queue was full.
 #[derive(Clone, Debug, Default)]
-pub struct Dropped(sync::Arc<atomic::AtomicU64>);
+pub struct DropCounter(sync::Arc<atomic::AtomicU64>);
 
-impl Dropped {
+impl DropCounter {
     /// Returns the number of dropped lines.
     pub fn count(&self) -> u64 {
         self.0.load(atomic::Ordering::Relaxed)
@@ -29,7 +29,7 @@
 pub struct Journal {
     host: id::HostName,
     lines: sync::mpsc::SyncSender<Vec<u8>>,
-    dropped: Dropped,
+    dropped: DropCounter,
 }
 
 #[derive(serde::Serialize)]
@@ -60,11 +60,11 @@
         let (lines, queue) = sync::mpsc::sync_channel(CAPACITY);
         let writer = thread::Builder::new().name("journal".to_owned());
         let writer = writer.spawn(move || write_lines(&queue))?;
-        Ok((Self { host, lines, dropped: Dropped::default() }, writer))
+        Ok((Self { host, lines, dropped: DropCounter::default() }, writer))
     }
 
     /// Returns the counter of dropped lines.
-    pub const fn dropped(&self) -> &Dropped {
+    pub const fn dropped(&self) -> &DropCounter {
         &self.dropped
     }
 
--- a/crates/gateway/src/record/mod.rs
+++ b/crates/gateway/src/record/mod.rs
@@ -3,5 +3,5 @@
 mod event;
 mod journal;
 
-pub use event::{Asked, Event, Tried};
-pub use journal::{Dropped, Journal};
+pub use event::{Event, RequestInputs, TrialStats};
+pub use journal::{DropCounter, Journal};
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -125,7 +125,12 @@
         self.send(&gateway::Message::Rollouts { rollouts, asks: false }, &others);
     }
 
-    fn log_rollout(&self, rollout: &gateway::Rollout, decided: bool, seen: Option<record::Tried>) {
+    fn log_rollout(
+        &self,
+        rollout: &gateway::Rollout,
+        decided: bool,
+        seen: Option<record::TrialStats>,
+    ) {
         self.metrics.rollout(rollout.service.as_str(), rollout.stage);
         let rollout = rollout.clone();
         self.journal.write(&record::Event::Rollout { rollout, decided, seen });
@@ -137,13 +142,13 @@
     pool: &gateway::Pool,
     now: trefoildyke_types::time::Timestamp,
     rollout: &gateway::Rollout,
-) -> record::Tried {
-    let ((placed, tried), [(usual, new), (usual_late, new_late)]) = pool.canary_counts();
+) -> record::TrialStats {
+    let ((placed, tried), [(usual, new), (usual_late, new_late)]) = pool.canary_request_counts();
     let evidence = match pool.rollout_status(now, &rollout.to).comparison {
         gateway::Comparison::Bad { evidence } => Some(evidence),
         _ => None,
     };
-    record::Tried {
+    record::TrialStats {
         placed,
         tried,
         usual_answers: usual.count,
