--- a/crates/daemon/src/callers/face.rs
+++ b/crates/daemon/src/callers/face.rs
@@ -100,7 +100,7 @@
     async fn refuse_unconfigured(&self, body: body::Incoming) -> request::Refusal {
         let limit = self.settings.body_bytes;
         let spec = http::read_json(body, limit, self.settings.body_wait()).await;
-        not_ready(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_second()))
+        not_ready(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_retry()))
     }
 
     fn authorize(&self, headers: &hyper::HeaderMap) -> Result<id::AccountName, request::Refusal> {
@@ -149,8 +149,8 @@
 }
 
 /// Returns the refusal of a daemon that has no configuration yet.
-fn not_ready(may_be_second: bool) -> request::Refusal {
-    let kind = match may_be_second {
+fn not_ready(may_be_retry: bool) -> request::Refusal {
+    let kind = match may_be_retry {
         true => request::RefusalKind::OutcomeUnknown,
         false => request::RefusalKind::NotRun,
     };
--- a/crates/daemon/src/clock/mod.rs
+++ b/crates/daemon/src/clock/mod.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns the current monotonic time.
-    pub fn mono(&self) -> Timestamp {
+    pub fn monotonic(&self) -> Timestamp {
         Timestamp::ZERO + self.origin.elapsed()
     }
 
@@ -34,7 +34,7 @@
 
     /// Returns the current time of both clocks, the wall clock in milliseconds elapsed the Unix epoch.
     pub fn now(&self) -> coordinate::Now {
-        coordinate::Now { mono: self.mono(), unix_ms: unix_us() / 1_000 }
+        coordinate::Now { monotonic: self.monotonic(), unix_ms: unix_us() / 1_000 }
     }
 }
 
--- a/crates/daemon/src/coordinate/buffer.rs
+++ b/crates/daemon/src/coordinate/buffer.rs
@@ -21,7 +21,7 @@
     /// How the answer ended; set once.
     end: Option<End>,
     /// Whether a caller has joined that may have sent the request to other daemons too.
-    is_second: bool,
+    is_maybe_retry: bool,
 }
 
 /// The maximum number of tokens in one chunk that a reader gets.
@@ -55,8 +55,8 @@
     ///
     /// A refusal need not hold for a later attempt, except one for a failure at the endpoint.
     /// An abandoned answer cannot be joined either.
-    pub(super) fn join(&mut self, is_second: bool) -> bool {
-        self.is_second |= is_second;
+    pub(super) fn join(&mut self, is_maybe_retry: bool) -> bool {
+        self.is_maybe_retry |= is_maybe_retry;
         match &self.end {
             Some(End::Refused(refusal)) => refusal.kind == request::RefusalKind::Failed,
             Some(End::Abandoned) => false,
@@ -64,17 +64,17 @@
         }
     }
 
-    pub(super) const fn is_second(&self) -> bool {
-        self.is_second
+    pub(super) const fn is_maybe_retry(&self) -> bool {
+        self.is_maybe_retry
     }
 
-    /// Ends the answer with a refusal; `was_second` is the request's `is_second` when it was decided.
+    /// Ends the answer with a refusal; `was_maybe_retry` is the request's `is_maybe_retry` when it was decided.
     ///
     /// A `not_run` refusal that was decided before a retry joined may be false for the retry. The answer is
     /// then abandoned: all readers get no end of the answer and have to ask again.
-    pub(super) fn refuse(&mut self, refusal: request::Refusal, was_second: bool) {
-        let may_be_false = refusal.kind == request::RefusalKind::NotRun && self.is_second;
-        self.finish(if may_be_false && !was_second {
+    pub(super) fn refuse(&mut self, refusal: request::Refusal, was_maybe_retry: bool) {
+        let may_be_false = refusal.kind == request::RefusalKind::NotRun && self.is_maybe_retry;
+        self.finish(if may_be_false && !was_maybe_retry {
             End::Abandoned
         } else {
             End::Refused(refusal)
--- a/crates/daemon/src/coordinate/conditions.rs
+++ b/crates/daemon/src/coordinate/conditions.rs
@@ -21,7 +21,7 @@
             policy: self.settings.outage,
             retention_ms: retention.keep_ms,
             skew_ms: retention.skew_ms,
-            local: local.map(|entry| coordinate::Local { fingerprint: entry.fingerprint }),
+            local: local.map(|entry| coordinate::LocalRequest { fingerprint: entry.fingerprint }),
         }
     }
 
--- a/crates/daemon/src/coordinate/driver.rs
+++ b/crates/daemon/src/coordinate/driver.rs
@@ -131,7 +131,7 @@
     }
 
     fn advance(&mut self, input: Input) {
-        self.job.state.join(self.job.entry.is_second());
+        self.job.state.join(self.job.entry.is_maybe_retry());
         let actions = self.job.state.step(self.context.clock.now(), input);
         self.run_actions(actions);
     }
@@ -177,14 +177,14 @@
         let key = self.job.entry.key.clone();
         let context = sync::Arc::clone(&self.context);
         match action {
-            Action::Ask => self.ask(),
+            Action::RequestPermit => self.ask(),
             Action::Withdraw => self.operation = operations::none(),
-            Action::HandBack(permit) => self.hand_back(&permit),
+            Action::ReturnPermit(permit) => self.return_permit(&permit),
             Action::Record(record) => {
                 self.record_event("record", || describe_record(&record));
                 self.operation = operations::record(context, key, record);
             }
-            Action::LookUp => self.operation = operations::look_up(context, key),
+            Action::ReadRecord => self.operation = operations::look_up(context, key),
             Action::Dispatch(endpoint) => self.dispatch(&endpoint),
             Action::Resume { endpoint, offset } => self.resume(&endpoint, offset),
             Action::Attach { coordinator, offset } => {
@@ -195,7 +195,7 @@
             Action::Cancel(endpoint) => self.cancel(&endpoint),
             Action::Deliver(chunk) => self.deliver(chunk),
             Action::Refuse(refusal) => {
-                self.job.entry.refuse(refusal, self.job.state.is_second());
+                self.job.entry.refuse(refusal, self.job.state.is_maybe_retry());
             }
         }
     }
@@ -213,7 +213,7 @@
         self.operation = operations::ask(context, shard, ask, self.job.deadline, pause);
     }
 
-    fn hand_back(&self, permit: &request::Permit) {
+    fn return_permit(&self, permit: &request::Permit) {
         self.record_event("handed_back", || format!("permit for {}", permit.endpoint));
         self.report(schedule::Note::HandBack { key: permit.key.clone() });
     }
@@ -228,14 +228,14 @@
         self.guard = Some(self.context.in_flight.track(endpoint));
         self.report_started();
         self.record_event("dispatched", || endpoint.to_string());
-        let left = self.job.deadline.since(self.context.clock.mono());
+        let left = self.job.deadline.since(self.context.clock.monotonic());
         self.operation = operations::dispatch(&self.context, &spec, key, &submission, left);
     }
 
     fn report_started(&mut self) {
         let ask = self.job.ask(self.context.links.own);
         if let (Some(mut ask), Some(permit)) = (ask, self.permit.clone()) {
-            let left = self.job.deadline.since(self.context.clock.mono());
+            let left = self.job.deadline.since(self.context.clock.monotonic());
             ask.left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
             self.is_running = true;
             self.report(schedule::Note::Started { ask, permit });
@@ -279,7 +279,7 @@
         self.context.metrics.tokens.add(chunk.tokens.len() as u64, &[]);
         self.job.entry.push(chunk);
         if is_first {
-            let waited = self.context.clock.mono().since(self.job.accepted);
+            let waited = self.context.clock.monotonic().since(self.job.accepted);
             self.context.metrics.first_token_time.record(waited.as_secs_f64() * 1_000.0, &[]);
         }
         if self.is_running {
--- a/crates/daemon/src/coordinate/entry.rs
+++ b/crates/daemon/src/coordinate/entry.rs
@@ -50,18 +50,18 @@
     }
 
     /// Registers a caller that joins; returns whether the answer can be given to it.
-    pub(super) fn join(&self, is_second: bool) -> bool {
-        self.lock().join(is_second)
+    pub(super) fn join(&self, is_maybe_retry: bool) -> bool {
+        self.lock().join(is_maybe_retry)
     }
 
     /// Returns whether a caller has joined that may have sent the request to other daemons too.
-    pub(super) fn is_second(&self) -> bool {
-        self.lock().is_second()
+    pub(super) fn is_maybe_retry(&self) -> bool {
+        self.lock().is_maybe_retry()
     }
 
-    /// Ends the answer with a refusal; `was_second` is the request's `is_second` when it was decided.
-    pub(super) fn refuse(&self, refusal: request::Refusal, was_second: bool) {
-        self.lock().refuse(refusal, was_second);
+    /// Ends the answer with a refusal; `was_maybe_retry` is the request's `is_maybe_retry` when it was decided.
+    pub(super) fn refuse(&self, refusal: request::Refusal, was_maybe_retry: bool) {
+        self.lock().refuse(refusal, was_maybe_retry);
         self.notify();
     }
 
--- a/crates/daemon/src/coordinate/resume.rs
+++ b/crates/daemon/src/coordinate/resume.rs
@@ -29,13 +29,13 @@
         }
         let found = self.context.intents.look_up(&key).await;
         let (fingerprint, resumable) = match &found {
-            coordinate::LookUp::Found(request::Record::Intent(intent)) => {
+            coordinate::ReadOutcome::Found(request::Record::Intent(intent)) => {
                 (intent.fingerprint, self.is_engine(&intent.endpoint))
             }
-            coordinate::LookUp::Found(request::Record::Closed { .. }) => {
+            coordinate::ReadOutcome::Found(request::Record::Closed { .. }) => {
                 return Err(coordinate::Reason::IdClosed.not_run());
             }
-            coordinate::LookUp::Absent | coordinate::LookUp::Unavailable => {
+            coordinate::ReadOutcome::Absent | coordinate::ReadOutcome::Unavailable => {
                 self.check_issuer(&key)?;
                 (0, false)
             }
@@ -66,31 +66,31 @@
     fn follow(
         &self,
         key: id::RequestKey,
-        found: coordinate::LookUp,
+        found: coordinate::ReadOutcome,
         fingerprint: u64,
         resumable: bool,
     ) -> Result<sync::Arc<entry::Entry>, request::Refusal> {
         let pass = self.context.gate.enter();
         let pass = pass.ok_or_else(|| coordinate::Reason::Stopping.unknown())?;
-        let opening = coordinate::Opening {
+        let initial = coordinate::InitialState {
             key: key.clone(),
             fingerprint,
             own: self.context.links.own,
             nonce: id::Nonce(rand::random()),
-            second: true,
+            maybe_retry: true,
             resumable,
             offset: 0,
             retention_ms: self.context.retention_ms(),
         };
-        let is_recorded = matches!(found, coordinate::LookUp::Found(_));
+        let is_recorded = matches!(found, coordinate::ReadOutcome::Found(_));
         let (mut state, _) =
-            coordinate::RequestState::start(opening, coordinate::Admission::LookUp);
+            coordinate::RequestState::start(initial, coordinate::Admission::LookUp);
         // An absent record is reported as unavailable, because the state would otherwise ask for a permit
         // to dispatch the request.
-        let found = if is_recorded { found } else { coordinate::LookUp::Unavailable };
+        let found = if is_recorded { found } else { coordinate::ReadOutcome::Unavailable };
         let actions = state.step(self.context.clock.now(), coordinate::Input::LookedUp(found));
         let (entry, signals) = entry::Entry::new(key, fingerprint);
-        let accepted = self.context.clock.mono();
+        let accepted = self.context.clock.monotonic();
         let deadline = accepted + RESUME_DEADLINE;
         let shared = sync::Arc::clone(&entry);
         let submission = None;
--- a/crates/daemon/src/coordinate/submit.rs
+++ b/crates/daemon/src/coordinate/submit.rs
@@ -53,7 +53,7 @@
         let mut entries = self.context.table.lock();
         let key = arrival.id.map(|id| id::RequestKey { account: submission.account.clone(), id });
         let local = key.as_ref().and_then(|key| entries.get(key)).cloned();
-        let local = local.filter(|local| local.join(arrival.may_be_second()));
+        let local = local.filter(|local| local.join(arrival.may_be_retry()));
         let conditions = self.context.conditions(local.as_deref(), pass.is_none());
         let coverage = self.context.intents.settings().coverage;
         let admission = coverage.apply(coordinate::admit(&arrival, &conditions)?);
@@ -83,7 +83,7 @@
         if self.context.gate.in_progress() <= capacity.max(1) {
             return Ok(());
         }
-        let kind = match arrival.may_be_second() {
+        let kind = match arrival.may_be_retry() {
             true => request::RefusalKind::OutcomeUnknown,
             false => request::RefusalKind::NotRun,
         };
@@ -106,28 +106,28 @@
         };
         let key = id::RequestKey { account: submission.account.clone(), id };
         let resumable = matches!(submission.spec.target, request::Target::Model(_));
-        let opening = self.opening(key.clone(), arrival.fingerprint, arrival, resumable);
-        let (state, actions) = coordinate::RequestState::start(opening, admission);
+        let initial = self.initial_state(key.clone(), arrival.fingerprint, arrival, resumable);
+        let (state, actions) = coordinate::RequestState::start(initial, admission);
         let (entry, signals) = entry::Entry::new(key, arrival.fingerprint);
-        let accepted = self.context.clock.mono();
+        let accepted = self.context.clock.monotonic();
         let deadline = accepted + submission.deadline;
         let submission = Some(sync::Arc::new(submission));
         (job::Job { entry, state, actions, submission, accepted, deadline }, signals)
     }
 
-    fn opening(
+    fn initial_state(
         &self,
         key: id::RequestKey,
         fingerprint: u64,
         arrival: &coordinate::Arrival,
         resumable: bool,
-    ) -> coordinate::Opening {
-        coordinate::Opening {
+    ) -> coordinate::InitialState {
+        coordinate::InitialState {
             key,
             fingerprint,
             own: self.context.links.own,
             nonce: id::Nonce(rand::random()),
-            second: arrival.may_be_second(),
+            maybe_retry: arrival.may_be_retry(),
             resumable,
             // The whole answer is buffered here; each reader starts at its own offset.
             offset: 0,
--- a/crates/daemon/src/daemon/progress.rs
+++ b/crates/daemon/src/daemon/progress.rs
@@ -40,7 +40,7 @@
     fn versions(&self, snapshot: &trefoildyke_decide::config::Snapshot) -> decide::Versions {
         let is_busy = self.gate.in_progress() > 0;
         let daemon = stops::Daemon { host: &self.host, is_busy };
-        let settled = stops::settled(snapshot, daemon, |name| {
+        let settled = stops::settled_version(snapshot, daemon, |name| {
             self.coordinate.is_busy(name) || self.drain.is_busy(name)
         });
         decide::Versions { config: snapshot.version(), settled }
@@ -59,7 +59,7 @@
     let mut views = members.subscribe();
     let mut versions = decide::Versions::default();
     loop {
-        versions = versions.highest(in_force.borrow_and_update().versions);
+        versions = versions.max(in_force.borrow_and_update().versions);
         let live = views.borrow_and_update().alive().count();
         let live = u32::try_from(live).unwrap_or(u32::MAX);
         let (in_force_everywhere, settled) = (versions.config, versions.settled);
--- a/crates/daemon/src/daemon/services.rs
+++ b/crates/daemon/src/daemon/services.rs
@@ -128,13 +128,13 @@
         versions: watch::Receiver<decide::Versions>,
         hosts: &hosts::Handle,
     ) -> (members::Handle, peers::Handle) {
-        let place = decide::Place {
+        let location = decide::Location {
             host: self.settings.host.clone(),
             zone: self.settings.zone.clone(),
             peer: self.settings.peers.advertise.unwrap_or(self.peer_address),
         };
         let (members, runner) =
-            members::new(self.own, place, decide::Params::default(), self.clock);
+            members::new(self.own, location, decide::Params::default(), self.clock);
         let found = members.clone();
         let (peers, lost) = peers::new(
             self.identity.clone(),
--- a/crates/daemon/src/endpoints/handle.rs
+++ b/crates/daemon/src/endpoints/handle.rs
@@ -12,16 +12,16 @@
 use crate::{endpoints, hosts};
 
 const PROBE_CAPACITY: usize = 64;
-/// The age from which a review is outdated; reviews run ten times a second.
-const MAX_REVIEW_AGE: time::Duration = time::Duration::from_secs(1);
+/// The age from which the last tick is outdated; ticks run ten times a second.
+const MAX_TICK_AGE: time::Duration = time::Duration::from_secs(1);
 
 /// A handle to the watcher of one shard. Clones share the watcher.
 #[derive(Clone, Debug)]
 pub struct Handle {
     probes: mpsc::Sender<id::EndpointName>,
     origin: tokio::time::Instant,
-    /// The time of the last review of the endpoints, in microseconds since `origin`.
-    reviewed: sync::Arc<atomic::AtomicU64>,
+    /// The time of the last tick of the endpoints' states, in microseconds since `origin`.
+    last_tick: sync::Arc<atomic::AtomicU64>,
 }
 
 /// Creates the handle and the watcher of one shard; the caller runs the watcher.
@@ -39,20 +39,20 @@
     let (probes, probe_receiver) = mpsc::channel(PROBE_CAPACITY);
     let sources =
         endpoints::watcher::Sources { config, hosts: hosts.subscribe(), probes: probe_receiver };
-    let reviewed = sync::Arc::new(atomic::AtomicU64::new(0));
-    let shared = sync::Arc::clone(&reviewed);
+    let last_tick = sync::Arc::new(atomic::AtomicU64::new(0));
+    let shared = sync::Arc::clone(&last_tick);
     let watcher = endpoints::Watcher::new(settings, shard, sources, origin, feed, shared);
-    (Handle { probes, origin, reviewed }, watcher)
+    (Handle { probes, origin, last_tick }, watcher)
 }
 
 impl Handle {
     /// Returns whether the inputs that the watcher has sent are current.
     ///
-    /// They are not current before the first review, nor between a pause of this process and the next
-    /// review. A scheduler that grants a permit then could choose an endpoint that has left.
+    /// They are not current before the first tick, nor between a pause of this process and the next
+    /// tick. A scheduler that grants a permit then could choose an endpoint that has left.
     pub fn is_current(&self) -> bool {
-        let reviewed = time::Duration::from_micros(self.reviewed.load(atomic::Ordering::Acquire));
-        !reviewed.is_zero() && self.origin.elapsed().saturating_sub(reviewed) < MAX_REVIEW_AGE
+        let last_tick = time::Duration::from_micros(self.last_tick.load(atomic::Ordering::Acquire));
+        !last_tick.is_zero() && self.origin.elapsed().saturating_sub(last_tick) < MAX_TICK_AGE
     }
 
     /// Requests a new load report of an endpoint; the watcher sends it to the scheduler on arrival.
--- a/crates/daemon/src/endpoints/watcher.rs
+++ b/crates/daemon/src/endpoints/watcher.rs
@@ -12,7 +12,7 @@
     hosts,
 };
 
-/// The interval at which the watcher starts due calls and reviews the endpoints.
+/// The interval at which the watcher starts due calls and updates the endpoints' states.
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// The longest plausible age of a load report. A timestamp that is older, or lies in the future, is not
 /// trusted, because the clock of the endpoint must be wrong.
@@ -38,12 +38,12 @@
     sources: Sources,
     origin: tokio::time::Instant,
     feed: mpsc::Sender<schedule::Input>,
-    standings: decisions::Standings,
+    states: decisions::EndpointStates,
     pollers: collections::BTreeMap<id::EndpointName, poller::Poller>,
     /// The calls in progress; dropping the watcher cancels them.
     calls: stream::FuturesUnordered<BoxFuture<'static, poll_result::PollResult>>,
-    /// The time of the last review of the endpoints, in microseconds since `origin`.
-    reviewed: sync::Arc<atomic::AtomicU64>,
+    /// The time of the last tick of the endpoints' states, in microseconds since `origin`.
+    last_tick: sync::Arc<atomic::AtomicU64>,
 }
 
 /// The error that ends the watcher: the feed to the scheduler or the configuration channel is closed.
@@ -56,13 +56,13 @@
         sources: Sources,
         origin: tokio::time::Instant,
         feed: mpsc::Sender<schedule::Input>,
-        reviewed: sync::Arc<atomic::AtomicU64>,
+        last_tick: sync::Arc<atomic::AtomicU64>,
     ) -> Self {
         let params = decisions::Params {
             unreachable_after: settings.unreachable_after(),
             ..Default::default()
         };
-        let standings = decisions::Standings::new(shard.pool.clone(), shard.number, params);
+        let states = decisions::EndpointStates::new(shard.pool.clone(), shard.number, params);
         Self {
             settings,
             pool: shard.pool,
@@ -70,10 +70,10 @@
             sources,
             origin,
             feed,
-            standings,
+            states,
             pollers: collections::BTreeMap::new(),
             calls: stream::FuturesUnordered::new(),
-            reviewed,
+            last_tick,
         }
     }
 
@@ -100,7 +100,7 @@
                 Some(endpoint) = self.sources.probes.recv() => self.request_load(&endpoint),
                 Some(result) = self.calls.next() => self.handle_result(result).await?,
                 () = self.feed.closed() => return Err(Closed),
-                _ = ticks.tick() => self.review().await?,
+                _ = ticks.tick() => self.tick().await?,
             }
             self.call_due();
         }
@@ -108,7 +108,7 @@
 
     async fn read_config(&mut self) -> Result<(), Closed> {
         let snapshot = sync::Arc::clone(&self.sources.config.borrow_and_update());
-        let inputs = self.standings.configure(self.now(), &snapshot);
+        let inputs = self.states.apply_config(self.now(), &snapshot);
         self.is_engine = snapshot
             .pool(&self.pool)
             .is_some_and(|pool| matches!(pool.protocol, resource::PoolProtocol::Engine { .. }));
@@ -116,15 +116,15 @@
         send_all(&self.feed, inputs).await
     }
 
-    async fn review(&mut self) -> Result<(), Closed> {
+    async fn tick(&mut self) -> Result<(), Closed> {
         let now = self.now();
-        let inputs = self.standings.review(now);
-        if self.standings.watched().count() < self.pollers.len() {
+        let inputs = self.states.tick(now);
+        if self.states.polled().count() < self.pollers.len() {
             self.update_pollers();
         }
         send_all(&self.feed, inputs).await?;
-        if self.standings.is_decided(now) {
-            self.reviewed.store(now.as_micros(), atomic::Ordering::Release);
+        if self.states.is_ready(now) {
+            self.last_tick.store(now.as_micros(), atomic::Ordering::Release);
         }
         Ok(())
     }
@@ -133,14 +133,14 @@
         let reading = self.sources.hosts.borrow_and_update().clone();
         let Some(reading) = reading else { return Ok(()) };
         let begun = Timestamp::ZERO + reading.begun.saturating_duration_since(self.origin);
-        let inputs = self.standings.list(self.now(), begun, reading.hosts);
+        let inputs = self.states.set_hosts(self.now(), begun, reading.hosts);
         send_all(&self.feed, inputs).await
     }
 
-    /// Updates the pollers to the set of watched endpoints; keeps each poller whose address is the same.
+    /// Updates the pollers to the set of polled endpoints; keeps each poller whose address is the same.
     fn update_pollers(&mut self) {
         let mut old = std::mem::take(&mut self.pollers);
-        for (name, spec) in self.standings.watched() {
+        for (name, spec) in self.states.polled() {
             let has_cache = self.is_engine && spec.cache_tokens > 0;
             let same = old.remove(name).filter(|poller| poller.address() == spec.address);
             let create = || poller::Poller::new(spec, has_cache, &self.settings);
@@ -181,7 +181,7 @@
             }
         };
         if answered {
-            let inputs = self.standings.answered(self.now(), &endpoint);
+            let inputs = self.states.answered(self.now(), &endpoint);
             send_all(&self.feed, inputs).await?;
         }
         send_all(&self.feed, input.into_iter().filter(|input| !is_empty(input)).collect()).await
--- a/crates/daemon/src/intents/handle.rs
+++ b/crates/daemon/src/intents/handle.rs
@@ -51,7 +51,7 @@
         &self,
         key: &id::RequestKey,
         record: &request::Record,
-    ) -> coordinate::RecordOutcome {
+    ) -> coordinate::WriteOutcome {
         let row = intents::Row { key: key.clone(), record: record.clone() };
         let Some(queues) = self.wait_for_queues().await else {
             return self.record_through_peer(row).await.into();
@@ -71,16 +71,16 @@
             }
         }
         if unsure {
-            coordinate::RecordOutcome::Unsure
+            coordinate::WriteOutcome::Unsure
         } else {
-            coordinate::RecordOutcome::Unavailable
+            coordinate::WriteOutcome::Unavailable
         }
     }
 
     /// Looks a record up through the owner of its bucket, in this daemon, or through another peer.
     ///
     /// A record that is absent may still be created by a write in progress.
-    pub async fn look_up(&self, key: &id::RequestKey) -> coordinate::LookUp {
+    pub async fn look_up(&self, key: &id::RequestKey) -> coordinate::ReadOutcome {
         let queues = self.wait_for_queues().await;
         let candidates = match &queues {
             Some(queues) => self.candidates(queues, key),
@@ -92,10 +92,11 @@
                 _ => self.look_up_remotely(member, key).await,
             };
             if let Ok(found) = found {
-                return found.map_or(coordinate::LookUp::Absent, coordinate::LookUp::Found);
+                return found
+                    .map_or(coordinate::ReadOutcome::Absent, coordinate::ReadOutcome::Found);
             }
         }
-        coordinate::LookUp::Unavailable
+        coordinate::ReadOutcome::Unavailable
     }
 
     /// Registers the methods with which peers commit records and look records up.
--- a/crates/daemon/src/members/handle.rs
+++ b/crates/daemon/src/members/handle.rs
@@ -34,12 +34,12 @@
 /// Returns the handle for the other services and the task, which must run on the control thread.
 pub fn new(
     own: id::Incarnation,
-    place: members::Place,
+    location: members::Location,
     params: members::Params,
     clock: clock::Clock,
 ) -> (Handle, Runner) {
     let (commands, received) = mpsc::channel(COMMAND_CAPACITY);
-    let membership = members::Membership::new(own, place, params, clock.mono());
+    let membership = members::Membership::new(own, location, params, clock.monotonic());
     let (views_sender, views) = watch::channel(sync::Arc::new(membership.view()));
     let (newest_sender, newest) = watch::channel(None);
     let (in_force_sender, in_force) = watch::channel(InForce::default());
@@ -133,7 +133,7 @@
     view: &members::View,
     incarnation: id::Incarnation,
 ) -> Option<net::SocketAddr> {
-    view.find(incarnation).filter(|member| member.state.counts()).map(|member| member.peer)
+    view.find(incarnation).filter(|member| member.state.is_member()).map(|member| member.peer)
 }
 
 /// Returns whether a member answers a ping within [`PROBE_TIMEOUT`].
--- a/crates/daemon/src/members/runner.rs
+++ b/crates/daemon/src/members/runner.rs
@@ -96,7 +96,8 @@
         calls: &mut task::JoinSet<members::Input>,
     ) {
         let mut reply = Some(reply);
-        let outputs = self.membership.step(self.clock.mono(), members::Input::Received(digest));
+        let outputs =
+            self.membership.step(self.clock.monotonic(), members::Input::Received(digest));
         for output in outputs {
             match (output, reply.take()) {
                 (members::Output::Answer(answer), Some(reply)) => {
@@ -118,7 +119,7 @@
         peers: &peers::Handle,
         calls: &mut task::JoinSet<members::Input>,
     ) {
-        for output in self.membership.step(self.clock.mono(), input) {
+        for output in self.membership.step(self.clock.monotonic(), input) {
             self.handle_output(output, peers, calls);
         }
         self.publish_contact();
@@ -147,7 +148,7 @@
     }
 
     fn publish(&self) {
-        let members = self.membership.set_hash();
+        let members = self.membership.members_hash();
         let versions = self.membership.in_force();
         self.in_force.send_if_modified(|known| {
             let now = InForce { versions, members };
@@ -159,7 +160,7 @@
     }
 
     fn publish_contact(&self) {
-        let contact = self.membership.contact().map(|at| self.clock.instant(at));
+        let contact = self.membership.last_contact().map(|at| self.clock.instant(at));
         self.contact.send_if_modified(|known| std::mem::replace(known, contact) != contact);
     }
 
--- a/crates/daemon/src/schedule/actor.rs
+++ b/crates/daemon/src/schedule/actor.rs
@@ -74,7 +74,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        let empty = self.waiting.is_empty() && self.shard.permitted() == 0;
+        let empty = self.waiting.is_empty() && self.shard.permitted_count() == 0;
         empty && !self.links.is_scheduled_here(&self.name)
     }
 
@@ -117,8 +117,8 @@
             command::Command::AskerGone(key) => self.asker_gone(key),
             command::Command::Entries(entries) => {
                 for entry in entries {
-                    if let schedule::Entry::Adopt(adopted) = &entry {
-                        self.coordinators.insert(adopted.ask.coordinator);
+                    if let schedule::Entry::Adopt(taken_over) = &entry {
+                        self.coordinators.insert(taken_over.ask.coordinator);
                     }
                     self.step(entry.into());
                 }
@@ -144,7 +144,7 @@
     fn step(&mut self, input: decide::Input) {
         let mut inputs = collections::VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
-            for output in self.shard.step(self.clock.mono(), input) {
+            for output in self.shard.step(self.clock.monotonic(), input) {
                 inputs.extend(self.handle_output(output));
             }
         }
--- a/crates/daemon/src/schedule/handle.rs
+++ b/crates/daemon/src/schedule/handle.rs
@@ -45,7 +45,7 @@
         deadline: Timestamp,
     ) -> Result<request::Permit, request::Refusal> {
         loop {
-            let left = deadline.since(self.clock.mono());
+            let left = deadline.since(self.clock.monotonic());
             if left.is_zero() {
                 return Err(no_scheduler());
             }
--- a/crates/daemon/src/schedule/note.rs
+++ b/crates/daemon/src/schedule/note.rs
@@ -50,14 +50,14 @@
     /// A report on a request that the scheduler permitted.
     Report(schedule::Report),
     /// A request that another scheduler permitted.
-    Adopt(schedule::Adopted),
+    Adopt(schedule::TakenOver),
 }
 
 impl From<Entry> for schedule::Input {
     fn from(entry: Entry) -> Self {
         match entry {
             Entry::Report(report) => Self::Report(report),
-            Entry::Adopt(adopted) => Self::Adopt(adopted),
+            Entry::Adopt(taken_over) => Self::TakeOver(taken_over),
         }
     }
 }
--- a/crates/daemon/src/schedule/outbox.rs
+++ b/crates/daemon/src/schedule/outbox.rs
@@ -26,7 +26,7 @@
     /// Whether that scheduler has received every report except the pending ones.
     synced: bool,
     /// The requests that this daemon dispatched or took over and that have not ended.
-    running: collections::HashMap<id::RequestKey, decide::Adopted>,
+    running: collections::HashMap<id::RequestKey, decide::TakenOver>,
     /// The requests with tokens that were not reported yet.
     unreported: collections::HashSet<id::RequestKey>,
     pending: Vec<Entry>,
@@ -121,8 +121,8 @@
         match note {
             Note::Started { ask, permit } => {
                 let key = ask.key.clone();
-                let adopted = decide::Adopted { ask, endpoint: permit.endpoint, tokens: 0 };
-                self.running.insert(key.clone(), adopted.clone());
+                let taken_over = decide::TakenOver { ask, endpoint: permit.endpoint, tokens: 0 };
+                self.running.insert(key.clone(), taken_over.clone());
                 if self.scheduler.is_none() {
                     self.scheduler = Some(permit.scheduler);
                     self.synced = true;
@@ -130,13 +130,13 @@
                 if self.scheduler == Some(permit.scheduler) {
                     self.pending.push(Entry::Report(decide::Report::Started { key }));
                 } else {
-                    self.pending.push(Entry::Adopt(adopted));
+                    self.pending.push(Entry::Adopt(taken_over));
                 }
             }
             Note::TakenOver { ask, endpoint } => {
-                let adopted = decide::Adopted { ask, endpoint, tokens: 0 };
-                self.running.insert(adopted.ask.key.clone(), adopted.clone());
-                self.pending.push(Entry::Adopt(adopted));
+                let taken_over = decide::TakenOver { ask, endpoint, tokens: 0 };
+                self.running.insert(taken_over.ask.key.clone(), taken_over.clone());
+                self.pending.push(Entry::Adopt(taken_over));
             }
             Note::Tokens { key, tokens } => self.add_tokens(key, tokens),
             Note::Finished { key, tokens, outcome } => {
@@ -152,9 +152,9 @@
     }
 
     fn add_tokens(&mut self, key: id::RequestKey, tokens: u32) {
-        let Some(adopted) = self.running.get_mut(&key) else { return };
-        let first = adopted.tokens == 0 && tokens > 0;
-        adopted.tokens = tokens;
+        let Some(taken_over) = self.running.get_mut(&key) else { return };
+        let first = taken_over.tokens == 0 && tokens > 0;
+        taken_over.tokens = tokens;
         if first {
             let report = decide::Report::FirstToken { key: key.clone() };
             self.pending.push(Entry::Report(report));
@@ -164,8 +164,8 @@
 
     fn add_progress(&mut self) {
         for key in std::mem::take(&mut self.unreported) {
-            if let Some(adopted) = self.running.get(&key) {
-                let report = decide::Report::Progress { key, tokens: adopted.tokens };
+            if let Some(taken_over) = self.running.get(&key) {
+                let report = decide::Report::Progress { key, tokens: taken_over.tokens };
                 self.pending.push(Entry::Report(report));
             }
         }
--- a/crates/daemon/tests/testsuite/intents/export.rs
+++ b/crates/daemon/tests/testsuite/intents/export.rs
@@ -2,7 +2,7 @@
 
 use testbed::switch;
 use trefoildyke_daemon::{intents, metrics};
-use trefoildyke_decide::coordinate::RecordOutcome;
+use trefoildyke_decide::coordinate::WriteOutcome;
 
 use crate::intents::nodes::{Nodes, OwnerChoice, key, long_timeouts, until};
 
@@ -12,7 +12,7 @@
     let node = nodes.start(1, OwnerChoice::Lowest);
     let metrics = metrics::Handle::new().unwrap();
     node.handle.export(&metrics.meter());
-    assert_eq!(node.record(&key(), 1).await, RecordOutcome::Created);
+    assert_eq!(node.record(&key(), 1).await, WriteOutcome::Created);
     let shows = |name: &str, value: &str| {
         let text = metrics.text().unwrap();
         let mut lines = text.lines().filter(|line| line.starts_with(name));
--- a/crates/daemon/tests/testsuite/intents/nodes.rs
+++ b/crates/daemon/tests/testsuite/intents/nodes.rs
@@ -169,7 +169,7 @@
         &self,
         key: &id::RequestKey,
         nonce: u64,
-    ) -> trefoildyke_decide::coordinate::RecordOutcome {
+    ) -> trefoildyke_decide::coordinate::WriteOutcome {
         let record = self.intent(nonce);
         tokio::time::timeout(LONG, self.handle.record(key, &record)).await.unwrap()
     }
--- a/crates/daemon/tests/testsuite/intents/write.rs
+++ b/crates/daemon/tests/testsuite/intents/write.rs
@@ -4,7 +4,7 @@
 
 use futures::future;
 use trefoildyke_daemon::intents;
-use trefoildyke_decide::coordinate::{LookUp, RecordOutcome, ServiceState};
+use trefoildyke_decide::coordinate::{ReadOutcome, ServiceState, WriteOutcome};
 use trefoildyke_types::{id, request};
 
 use crate::intents::nodes::{Node, Nodes, OwnerChoice, key, long_timeouts};
@@ -18,15 +18,15 @@
         });
         let attempts = future::join_all(attempts).await;
         let stored = nodes[0].handle.look_up(key).await;
-        let LookUp::Found(stored) = stored else { panic!("{stored:?}") };
+        let ReadOutcome::Found(stored) = stored else { panic!("{stored:?}") };
         for (record, outcome) in &attempts {
             match outcome {
-                RecordOutcome::Created => assert_eq!(*record, stored),
-                RecordOutcome::Exists(record) => assert_eq!(*record, stored),
+                WriteOutcome::Created => assert_eq!(*record, stored),
+                WriteOutcome::Exists(record) => assert_eq!(*record, stored),
                 _ => panic!("{outcome:?} without a fault"),
             }
         }
-        attempts.iter().filter(|(_, outcome)| *outcome == RecordOutcome::Created).count()
+        attempts.iter().filter(|(_, outcome)| *outcome == WriteOutcome::Created).count()
     });
     future::join_all(races).await
 }
@@ -70,7 +70,7 @@
         async move { node.record(&key(), nonce).await }
     });
     let outcomes = future::join_all(records).await;
-    assert!(outcomes.iter().all(|outcome| *outcome == RecordOutcome::Created));
+    assert!(outcomes.iter().all(|outcome| *outcome == WriteOutcome::Created));
     let counts = node.handle.stats();
     let windows = started.elapsed().as_millis() / 100;
     assert!(u128::from(counts.batches) <= windows + 1, "{counts:?} in {windows} windows");
@@ -85,7 +85,7 @@
     let keys: Vec<_> = (0..400).map(|_| key()).collect();
     let records = keys.iter().enumerate().map(|(nonce, key)| node.record(key, nonce as u64));
     for outcome in future::join_all(records).await {
-        assert_eq!(outcome, RecordOutcome::Created);
+        assert_eq!(outcome, WriteOutcome::Created);
     }
     let parts = nodes.kv.entries("intents/slots/");
     assert!(parts.len() >= 400 * 100 / 2048, "{} parts", parts.len());
@@ -94,9 +94,9 @@
     let other = nodes.start(2, OwnerChoice::Itself);
     for (nonce, key) in keys.iter().enumerate() {
         let stored = node.intent(nonce as u64);
-        assert_eq!(other.handle.look_up(key).await, LookUp::Found(stored.clone()));
+        assert_eq!(other.handle.look_up(key).await, ReadOutcome::Found(stored.clone()));
     }
-    let taken = RecordOutcome::Exists(node.intent(0));
+    let taken = WriteOutcome::Exists(node.intent(0));
     assert_eq!(other.record(&keys[0], 9_999).await, taken);
 }
 
@@ -109,9 +109,9 @@
     let second = nodes.start(2, OwnerChoice::Itself);
     for nonce in 1..20 {
         let key = key();
-        assert_eq!(second.handle.look_up(&key).await, LookUp::Absent);
-        assert_eq!(first.record(&key, nonce).await, RecordOutcome::Created);
-        assert_eq!(second.handle.look_up(&key).await, LookUp::Found(first.intent(nonce)));
+        assert_eq!(second.handle.look_up(&key).await, ReadOutcome::Absent);
+        assert_eq!(first.record(&key, nonce).await, WriteOutcome::Created);
+        assert_eq!(second.handle.look_up(&key).await, ReadOutcome::Found(first.intent(nonce)));
     }
 }
 
@@ -133,11 +133,11 @@
     let reads = nodes.kv.stats().reads;
     let started = time::Instant::now();
     let known = future::join_all(keys.iter().map(|key| other.handle.look_up(key))).await;
-    assert!(known.iter().all(|found| matches!(found, LookUp::Found(_))));
+    assert!(known.iter().all(|found| matches!(found, ReadOutcome::Found(_))));
     assert_eq!(nodes.kv.stats().reads, reads, "the owner knows them all");
     let absent: Vec<_> = (0..100).map(|_| key()).collect();
     let unknown = future::join_all(absent.iter().map(|key| other.handle.look_up(key))).await;
-    assert!(unknown.iter().all(|found| *found == LookUp::Absent));
+    assert!(unknown.iter().all(|found| *found == ReadOutcome::Absent));
     let windows = started.elapsed().as_millis() / 100;
     let reads = u128::from(nodes.kv.stats().reads - reads);
     assert!(reads <= windows + 1, "{reads} reads in {windows} windows");
@@ -149,8 +149,8 @@
     let node = nodes.start(1, OwnerChoice::Lowest);
     let key = key();
     let closed = request::Record::Closed { nonce: id::Nonce(5) };
-    assert_eq!(node.handle.record(&key, &closed).await, RecordOutcome::Created);
-    assert_eq!(node.record(&key, 6).await, RecordOutcome::Exists(closed));
+    assert_eq!(node.handle.record(&key, &closed).await, WriteOutcome::Created);
+    assert_eq!(node.record(&key, 6).await, WriteOutcome::Exists(closed));
 }
 
 #[tokio::test]
@@ -158,10 +158,10 @@
     let nodes = Nodes::new(long_timeouts()).await;
     let node = nodes.start(1, OwnerChoice::Lowest);
     let key = key();
-    assert_eq!(node.handle.look_up(&key).await, LookUp::Absent);
-    assert_eq!(node.record(&key, 5).await, RecordOutcome::Created);
-    assert_eq!(node.record(&key, 5).await, RecordOutcome::Created);
-    assert_eq!(node.record(&key, 6).await, RecordOutcome::Exists(node.intent(5)));
+    assert_eq!(node.handle.look_up(&key).await, ReadOutcome::Absent);
+    assert_eq!(node.record(&key, 5).await, WriteOutcome::Created);
+    assert_eq!(node.record(&key, 5).await, WriteOutcome::Created);
+    assert_eq!(node.record(&key, 6).await, WriteOutcome::Exists(node.intent(5)));
     assert_eq!(node.handle.service_state(), ServiceState::Up);
 }
 
@@ -170,9 +170,9 @@
     let nodes = Nodes::new(long_timeouts()).await;
     let first = nodes.start(1, OwnerChoice::Itself);
     let key = key();
-    assert_eq!(first.record(&key, 1).await, RecordOutcome::Created);
+    assert_eq!(first.record(&key, 1).await, WriteOutcome::Created);
     let other = intents::Settings { buckets: 3, slice_ms: 1000, keep_ms: 5000, ..nodes.settings };
     let second = nodes.start_with(2, OwnerChoice::Itself, other);
-    assert_eq!(second.record(&key, 2).await, RecordOutcome::Exists(first.intent(1)));
+    assert_eq!(second.record(&key, 2).await, WriteOutcome::Exists(first.intent(1)));
     assert_eq!(second.handle.layout(), first.handle.layout());
 }
--- a/crates/decide/benches/schedule.rs
+++ b/crates/decide/benches/schedule.rs
@@ -37,7 +37,7 @@
             load.step(schedule::Input::EndpointUp(info));
         }
         let full = (ENDPOINTS * SLOTS) as usize;
-        while load.running.len() < full || load.shard.waiting() < waiting {
+        while load.running.len() < full || load.shard.waiting_count() < waiting {
             load.ask();
             load.now = load.now + time::Duration::from_micros(200);
             load.progress();
@@ -106,7 +106,7 @@
         group.bench_with_input(BenchmarkId::from_parameter(waiting), &waiting, |bencher, _| {
             bencher.iter(|| load.round());
         });
-        let left = hint::black_box(load.shard.waiting());
+        let left = hint::black_box(load.shard.waiting_count());
         assert!(left >= waiting, "the number waiting must not fall: {left} of {waiting}");
         assert!(load.running.len() >= (ENDPOINTS * SLOTS) as usize - 64, "endpoints must be busy");
     }
--- a/crates/decide/src/coordinate/action.rs
+++ b/crates/decide/src/coordinate/action.rs
@@ -6,15 +6,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Ask the scheduler for a permit.
-    Ask,
+    RequestPermit,
     /// Tell the scheduler that the request no longer needs a permit.
     Withdraw,
     /// Return an unused permit to the scheduler.
-    HandBack(request::Permit),
+    ReturnPermit(request::Permit),
     /// Create the record if none exists.
     Record(request::Record),
     /// Read the record.
-    LookUp,
+    ReadRecord,
     /// Send the request to the endpoint; no other action sends it.
     Dispatch(id::EndpointName),
     /// Continue the answer stream from the endpoint on a new connection.
--- a/crates/decide/src/coordinate/answer.rs
+++ b/crates/decide/src/coordinate/answer.rs
@@ -12,7 +12,7 @@
         if !matches!(self.phase, Phase::Dispatched { .. } | Phase::Following { .. }) {
             return vec![];
         }
-        if chunk.id != self.opening.key.id || chunk.offset > self.offset {
+        if chunk.id != self.initial.key.id || chunk.offset > self.offset {
             return self.stream_lost();
         }
         if let Phase::Dispatched { has_chunk, .. } = &mut self.phase {
@@ -40,11 +40,11 @@
     /// Follows the answer to the dispatch that the intent record describes.
     pub(super) fn follow(&mut self, intent: request::Intent) -> Vec<Action> {
         let mut actions = self.release_permit();
-        if intent.fingerprint != self.opening.fingerprint {
+        if intent.fingerprint != self.initial.fingerprint {
             actions.extend(self.refuse(Reason::IdReused.invalid()));
             return actions;
         }
-        let own = intent.coordinator == self.opening.own;
+        let own = intent.coordinator == self.initial.own;
         let coordinator = if own { None } else { Some(intent.coordinator) };
         self.phase = Phase::Following { coordinator, endpoint: Some(intent.endpoint) };
         actions.extend(self.fetch_rest());
@@ -60,7 +60,7 @@
             }
             Phase::Dispatched { endpoint, .. }
             | Phase::Following { endpoint: Some(endpoint), .. }
-                if self.opening.resumable =>
+                if self.initial.resumable =>
             {
                 vec![Action::Resume { endpoint: endpoint.clone(), offset }]
             }
@@ -102,7 +102,7 @@
         let Phase::Following { endpoint, .. } = &self.phase else {
             return vec![];
         };
-        let exclusive = endpoint.is_some() || self.opening.key.id.is_unrecorded();
+        let exclusive = endpoint.is_some() || self.initial.key.id.is_unrecorded();
         if exclusive || refusal.kind != request::RefusalKind::NotRun {
             return self.refuse(refusal);
         }
@@ -121,7 +121,7 @@
         match self.phase {
             Phase::Dispatched { has_chunk: false, .. } => {
                 self.phase = Phase::Recorded;
-                vec![Action::Ask]
+                vec![Action::RequestPermit]
             }
             _ => vec![],
         }
--- a/crates/decide/src/coordinate/arrival.rs
+++ b/crates/decide/src/coordinate/arrival.rs
@@ -39,7 +39,7 @@
     /// Returns whether the request may have been started before.
     ///
     /// This always holds for an issued identifier, because its issuer started the request.
-    pub fn may_be_second(&self) -> bool {
+    pub fn may_be_retry(&self) -> bool {
         self.is_retry() || self.id.is_some_and(|id| id.issuer().is_some())
     }
 }
--- a/crates/decide/src/coordinate/conditions.rs
+++ b/crates/decide/src/coordinate/conditions.rs
@@ -33,7 +33,7 @@
 
 /// A request with the same key at the same daemon, in progress or answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Local {
+pub struct LocalRequest {
     /// The fingerprint of that request's body.
     pub fingerprint: u64,
 }
@@ -62,5 +62,5 @@
     /// The request with the same key at this daemon, in progress or answered.
     ///
     /// A refused or abandoned request is left out, because its refusal may not apply to a later attempt.
-    pub local: Option<Local>,
+    pub local: Option<LocalRequest>,
 }
--- a/crates/decide/src/coordinate/input.rs
+++ b/crates/decide/src/coordinate/input.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Now {
     /// The time on the daemon's monotonic clock.
-    pub mono: time::Timestamp,
+    pub monotonic: time::Timestamp,
     /// The wall-clock time, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
 /// The outcome of reading a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum LookUp {
+pub enum ReadOutcome {
     /// The record exists.
     Found(request::Record),
     /// No record exists.
@@ -24,7 +24,7 @@
 
 /// The outcome of writing a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum RecordOutcome {
+pub enum WriteOutcome {
     /// The record was created and exists as written.
     Created,
     /// Another record already existed.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// The attempt to read the record ended.
-    LookedUp(LookUp),
+    LookedUp(ReadOutcome),
     /// The scheduler granted a permit.
     Permit(request::Permit),
     /// The scheduler granted a permit that must not be used.
@@ -51,7 +51,7 @@
     /// The scheduler shed the request.
     Shed(request::Refusal),
     /// The attempt to write the record ended.
-    Recorded(RecordOutcome),
+    Recorded(WriteOutcome),
     /// The connection to the endpoint could not be opened, and nothing was sent.
     ConnectFailed,
     /// A chunk of an answer arrived.
--- a/crates/decide/src/coordinate/record.rs
+++ b/crates/decide/src/coordinate/record.rs
@@ -5,48 +5,53 @@
 use trefoildyke_types::request;
 
 use crate::coordinate::{
-    Action, HeldPermit, LookUp, Now, Phase, Reason, RecordOutcome, Recording, RequestState, Waiting,
+    Action, HeldPermit, Now, Phase, ReadOutcome, Reason, Recording, RequestState, Waiting,
+    WriteOutcome,
 };
 
 impl RequestState {
-    pub(super) fn looked_up(&mut self, now: Now, outcome: LookUp) -> Vec<Action> {
+    pub(super) fn looked_up(&mut self, now: Now, outcome: ReadOutcome) -> Vec<Action> {
         match (&self.phase, outcome) {
-            (Phase::Waiting(Waiting::LookUp), LookUp::Found(record)) => self.resolve(now, record),
-            (Phase::Waiting(Waiting::LookUp), LookUp::Absent) => self.ask(),
-            (Phase::Waiting(Waiting::LookUp), LookUp::Unavailable) => self.follow_issuer(),
-            (Phase::Waiting(Waiting::ReadBack(_)), LookUp::Found(record)) => {
+            (Phase::Waiting(Waiting::LookUp), ReadOutcome::Found(record)) => {
                 self.resolve(now, record)
             }
-            (Phase::Waiting(Waiting::ReadBack(held)), LookUp::Absent) => {
+            (Phase::Waiting(Waiting::LookUp), ReadOutcome::Absent) => self.ask(),
+            (Phase::Waiting(Waiting::LookUp), ReadOutcome::Unavailable) => self.follow_issuer(),
+            (Phase::Waiting(Waiting::ReadBack(_)), ReadOutcome::Found(record)) => {
+                self.resolve(now, record)
+            }
+            (Phase::Waiting(Waiting::ReadBack(held)), ReadOutcome::Absent) => {
                 let held = held.clone();
                 self.record(held)
             }
-            (Phase::Waiting(Waiting::ReadBack(_)), LookUp::Unavailable) => self.refuse_unrecorded(),
+            (Phase::Waiting(Waiting::ReadBack(_)), ReadOutcome::Unavailable) => {
+                self.refuse_unrecorded()
+            }
             _ => vec![],
         }
     }
 
     pub(super) fn permitted(&mut self, now: Now, permit: request::Permit) -> Vec<Action> {
-        let expiry = now.mono + time::Duration::from_millis(permit.ttl_ms);
+        let expiry = now.monotonic + time::Duration::from_millis(permit.ttl_ms);
         let held = HeldPermit { permit, expiry };
         match (&self.phase, self.recording) {
             (Phase::Waiting(Waiting::Permit), Recording::Required) => self.record(held),
             (Phase::Waiting(Waiting::Permit), Recording::Unrecorded) | (Phase::Recorded, _) => {
                 self.dispatch(held)
             }
-            _ => vec![Action::HandBack(held.permit)],
+            _ => vec![Action::ReturnPermit(held.permit)],
         }
     }
 
-    pub(super) fn recorded(&mut self, now: Now, outcome: RecordOutcome) -> Vec<Action> {
+    pub(super) fn recorded(&mut self, now: Now, outcome: WriteOutcome) -> Vec<Action> {
         match &self.phase {
             Phase::Waiting(Waiting::Record(held)) => {
                 let held = held.clone();
                 match outcome {
-                    RecordOutcome::Created => self.dispatch_recorded(now, held),
-                    RecordOutcome::Exists(record) => self.resolve(now, record),
-                    RecordOutcome::Unsure => self.read_back(held),
-                    RecordOutcome::Unavailable => self.refuse_unrecorded(),
+                    WriteOutcome::Created => self.dispatch_recorded(now, held),
+                    WriteOutcome::Exists(record) => self.resolve(now, record),
+                    WriteOutcome::Unsure => self.read_back(held),
+                    WriteOutcome::Unavailable => self.refuse_unrecorded(),
                 }
             }
             Phase::Waiting(Waiting::Close(refusal)) => {
@@ -59,10 +64,10 @@
 
     fn record(&mut self, held: HeldPermit) -> Vec<Action> {
         let intent = request::Intent {
-            coordinator: self.opening.own,
-            nonce: self.opening.nonce,
+            coordinator: self.initial.own,
+            nonce: self.initial.nonce,
             endpoint: held.permit.endpoint.clone(),
-            fingerprint: self.opening.fingerprint,
+            fingerprint: self.initial.fingerprint,
         };
         self.phase = Phase::Waiting(Waiting::Record(held));
         vec![Action::Record(request::Record::Intent(intent))]
@@ -70,14 +75,14 @@
 
     fn read_back(&mut self, held: HeldPermit) -> Vec<Action> {
         self.phase = Phase::Waiting(Waiting::ReadBack(held));
-        vec![Action::LookUp]
+        vec![Action::ReadRecord]
     }
 
     /// Handles an existing record.
     ///
     /// Only the nonce tells whether this daemon or another one wrote the record.
     fn resolve(&mut self, now: Now, record: request::Record) -> Vec<Action> {
-        let own = record.nonce() == self.opening.nonce;
+        let own = record.nonce() == self.initial.nonce;
         match (&self.phase, record) {
             (Phase::Waiting(Waiting::Record(held) | Waiting::ReadBack(held)), _) if own => {
                 let held = held.clone();
@@ -102,16 +107,16 @@
             actions.extend(self.refuse(Reason::IdTooOld.unknown()));
             return actions;
         }
-        if now.mono < held.expiry {
+        if now.monotonic < held.expiry {
             return self.dispatch(held);
         }
         self.phase = Phase::Recorded;
-        vec![Action::HandBack(held.permit), Action::Ask]
+        vec![Action::ReturnPermit(held.permit), Action::RequestPermit]
     }
 
     fn is_too_old(&self, now: Now) -> bool {
-        let age_ms = now.unix_ms.saturating_sub(self.opening.key.id.created_ms());
-        age_ms > self.opening.retention_ms
+        let age_ms = now.unix_ms.saturating_sub(self.initial.key.id.created_ms());
+        age_ms > self.initial.retention_ms
     }
 
     fn dispatch(&mut self, held: HeldPermit) -> Vec<Action> {
@@ -122,15 +127,15 @@
 
     fn ask(&mut self) -> Vec<Action> {
         self.phase = Phase::Waiting(Waiting::Permit);
-        vec![Action::Ask]
+        vec![Action::RequestPermit]
     }
 
     /// Follows the issuer of the identifier, or refuses the request if no other daemon issued it.
     ///
     /// While the record cannot be read, only the issuer can know whether the request was dispatched.
     fn follow_issuer(&mut self) -> Vec<Action> {
-        match self.opening.key.id.issuer() {
-            Some(issuer) if issuer != self.opening.own => {
+        match self.initial.key.id.issuer() {
+            Some(issuer) if issuer != self.initial.own => {
                 let offset = self.offset;
                 self.phase = Phase::Following { coordinator: Some(issuer), endpoint: None };
                 vec![Action::Attach { coordinator: issuer, offset }]
@@ -145,7 +150,7 @@
     /// under its nonce, and this daemon no longer does.
     fn refuse_unrecorded(&mut self) -> Vec<Action> {
         let mut actions = self.release_permit();
-        let refusal = match self.opening.second {
+        let refusal = match self.initial.maybe_retry {
             true => Reason::NoProof.unknown(),
             false => Reason::RecordUnavailable.not_run(),
         };
@@ -157,19 +162,19 @@
     fn closed(
         &mut self,
         now: Now,
-        outcome: &RecordOutcome,
+        outcome: &WriteOutcome,
         refusal: request::Refusal,
     ) -> Vec<Action> {
         if self.is_too_old(now) {
             return self.refuse(Reason::IdTooOld.unknown());
         }
         let own = match outcome {
-            RecordOutcome::Created => true,
-            RecordOutcome::Exists(record) => {
-                record.nonce() == self.opening.nonce
+            WriteOutcome::Created => true,
+            WriteOutcome::Exists(record) => {
+                record.nonce() == self.initial.nonce
                     || matches!(record, request::Record::Closed { .. })
             }
-            RecordOutcome::Unsure | RecordOutcome::Unavailable => false,
+            WriteOutcome::Unsure | WriteOutcome::Unavailable => false,
         };
         match own {
             true => self.refuse(refusal),
--- a/crates/decide/src/coordinate/request_state.rs
+++ b/crates/decide/src/coordinate/request_state.rs
@@ -6,7 +6,7 @@
 
 /// The initial values of a request's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Opening {
+pub struct InitialState {
     /// The request's key.
     pub key: id::RequestKey,
     /// The fingerprint of the request body.
@@ -17,7 +17,7 @@
     pub nonce: id::Nonce,
     /// Whether the request may be a retry: the caller marked it as one, or a daemon issued its identifier
     /// before.
-    pub second: bool,
+    pub maybe_retry: bool,
     /// Whether the endpoint can resume a stream.
     pub resumable: bool,
     /// The first output offset that the caller has not received yet, in tokens.
@@ -36,10 +36,10 @@
 /// - A `not_run` refusal of a possible retry is returned only if a record excludes a dispatch by any
 ///   other daemon (this daemon's own record or a `Closed` record), if no record is required, or if the
 ///   refusal is from the followed coordinator and no other daemon may dispatch.
-/// - Once [`Self::is_final`] holds, the only action returned is [`Action::HandBack`] for a late permit.
+/// - Once [`Self::is_final`] holds, the only action returned is [`Action::ReturnPermit`] for a late permit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestState {
-    pub(super) opening: Opening,
+    pub(super) initial: InitialState,
     pub(super) recording: Recording,
     pub(super) offset: u64,
     pub(super) phase: Phase,
@@ -49,22 +49,22 @@
     /// Starts a request as [`admit`](crate::coordinate::admit) decided; returns the first actions.
     ///
     /// For [`Admission::Attach`] call [`Self::join`] on the existing request instead.
-    pub fn start(opening: Opening, admission: Admission) -> (Self, Vec<Action>) {
+    pub fn start(initial: InitialState, admission: Admission) -> (Self, Vec<Action>) {
         let (recording, phase, action) = match admission {
             Admission::Issue(recording) | Admission::Start(recording) => {
-                (recording, Phase::Waiting(Waiting::Permit), Action::Ask)
+                (recording, Phase::Waiting(Waiting::Permit), Action::RequestPermit)
             }
             Admission::LookUp | Admission::Attach => {
-                (Recording::Required, Phase::Waiting(Waiting::LookUp), Action::LookUp)
+                (Recording::Required, Phase::Waiting(Waiting::LookUp), Action::ReadRecord)
             }
             Admission::Follow(coordinator) => (
                 Recording::Required,
                 Phase::Following { coordinator: Some(coordinator), endpoint: None },
-                Action::Attach { coordinator, offset: opening.offset },
+                Action::Attach { coordinator, offset: initial.offset },
             ),
         };
-        let offset = opening.offset;
-        (Self { opening, recording, offset, phase }, vec![action])
+        let offset = initial.offset;
+        (Self { initial, recording, offset, phase }, vec![action])
     }
 
     /// Returns the phase of the request.
@@ -74,30 +74,30 @@
 
     /// Returns the request's key.
     pub const fn key(&self) -> &id::RequestKey {
-        &self.opening.key
+        &self.initial.key
     }
 
     /// Returns the fingerprint of the request's body.
     pub const fn fingerprint(&self) -> u64 {
-        self.opening.fingerprint
+        self.initial.fingerprint
     }
 
     /// Returns the nonce of the records that the request writes.
     pub const fn nonce(&self) -> id::Nonce {
-        self.opening.nonce
+        self.initial.nonce
     }
 
-    /// Registers that a caller joined; if `second`, other daemons may know the identifier too.
+    /// Registers that a caller joined; if `maybe_retry`, other daemons may know the identifier too.
     ///
     /// The argument on [`Admission::Attach`] is
-    /// [`Arrival::may_be_second`](crate::coordinate::Arrival::may_be_second).
-    pub const fn join(&mut self, second: bool) {
-        self.opening.second |= second;
+    /// [`Arrival::may_be_retry`](crate::coordinate::Arrival::may_be_retry).
+    pub const fn join(&mut self, maybe_retry: bool) {
+        self.initial.maybe_retry |= maybe_retry;
     }
 
     /// Returns whether other daemons may know the identifier too.
-    pub const fn is_second(&self) -> bool {
-        self.opening.second
+    pub const fn is_maybe_retry(&self) -> bool {
+        self.initial.maybe_retry
     }
 
     /// Returns the output offset, in tokens, up to which the answer has been received in order.
@@ -156,12 +156,12 @@
     /// Refuses a waiting request; the identifier of a possible retry is closed first.
     pub(super) fn close_and_refuse(&mut self, refusal: request::Refusal) -> Vec<Action> {
         let mut actions = self.release_permit();
-        if !self.opening.second {
+        if !self.initial.maybe_retry {
             actions.extend(self.refuse(refusal));
             return actions;
         }
         self.phase = Phase::Waiting(Waiting::Close(refusal));
-        actions.push(Action::Record(request::Record::Closed { nonce: self.opening.nonce }));
+        actions.push(Action::Record(request::Record::Closed { nonce: self.initial.nonce }));
         actions
     }
 
@@ -182,7 +182,7 @@
         match &self.phase {
             Phase::Waiting(Waiting::Permit) | Phase::Recorded => vec![Action::Withdraw],
             Phase::Waiting(Waiting::Record(held) | Waiting::ReadBack(held)) => {
-                vec![Action::HandBack(held.permit.clone())]
+                vec![Action::ReturnPermit(held.permit.clone())]
             }
             _ => vec![],
         }
@@ -221,9 +221,9 @@
 
     /// Returns an unusable permit and asks for another one if the request still needs it.
     fn return_permit(&mut self, permit: request::Permit) -> Vec<Action> {
-        let mut actions = vec![Action::HandBack(permit)];
+        let mut actions = vec![Action::ReturnPermit(permit)];
         if matches!(self.phase, Phase::Waiting(Waiting::Permit) | Phase::Recorded) {
-            actions.push(Action::Ask);
+            actions.push(Action::RequestPermit);
         }
         actions
     }
@@ -240,7 +240,7 @@
 /// Returns a permit that arrives after the end of the request; ignores every other event.
 fn return_late_permit(input: Input) -> Vec<Action> {
     match input {
-        Input::Permit(permit) | Input::UnusablePermit(permit) => vec![Action::HandBack(permit)],
+        Input::Permit(permit) | Input::UnusablePermit(permit) => vec![Action::ReturnPermit(permit)],
         _ => vec![],
     }
 }
--- a/crates/decide/src/endpoints/endpoint_state.rs
+++ b/crates/decide/src/endpoints/endpoint_state.rs
@@ -48,7 +48,7 @@
         params: &endpoints::Params,
     ) -> bool {
         let host = &self.spec.host;
-        let host_is_gone = self.was_listed && !hosts.names(host);
+        let host_is_gone = self.was_listed && !hosts.contains(host);
         let is_enabled = !self.is_stopped && self.deleted.is_none();
         let is_reachable = now.since(self.last_answer) < params.unreachable_after;
         is_enabled && !host_is_gone && !hosts.leaving.contains(host) && is_reachable
--- a/crates/decide/src/endpoints/standings.rs
+++ b/crates/decide/src/endpoints/endpoint_states.rs
@@ -24,12 +24,12 @@
 /// use trefoildyke_types::time::Timestamp;
 ///
 /// let params = endpoints::Params::default();
-/// let mut standings = endpoints::Standings::new("drafting".into(), 0, params);
-/// let inputs = standings.configure(Timestamp::ZERO, &config::Snapshot::default());
+/// let mut states = endpoints::EndpointStates::new("drafting".into(), 0, params);
+/// let inputs = states.apply_config(Timestamp::ZERO, &config::Snapshot::default());
 /// assert!(inputs.is_empty());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Standings {
+pub struct EndpointStates {
     pool: id::PoolName,
     shard: u16,
     params: endpoints::Params,
@@ -43,7 +43,7 @@
     endpoints: collections::BTreeMap<id::EndpointName, endpoint_state::EndpointState>,
 }
 
-impl Standings {
+impl EndpointStates {
     /// Creates the state of one shard of a pool, without endpoints.
     pub fn new(pool: id::PoolName, shard: u16, params: endpoints::Params) -> Self {
         Self {
@@ -60,12 +60,12 @@
     /// Returns the endpoints that must be asked for their load, with their descriptions.
     ///
     /// This includes those that get no new work but still have some.
-    pub fn watched(&self) -> impl Iterator<Item = (&id::EndpointName, &resource::EndpointSpec)> {
+    pub fn polled(&self) -> impl Iterator<Item = (&id::EndpointName, &resource::EndpointSpec)> {
         self.endpoints.iter().map(|(name, state)| (name, &state.spec))
     }
 
     /// Applies a version of the configuration.
-    pub fn configure(
+    pub fn apply_config(
         &mut self,
         now: Timestamp,
         snapshot: &config::Snapshot,
@@ -85,12 +85,12 @@
                 state.deleted.get_or_insert(now);
             }
         }
-        inputs.extend(self.review(now));
+        inputs.extend(self.tick(now));
         inputs
     }
 
     /// Applies a reading of the platform's list that was started at `begun`.
-    pub fn list(
+    pub fn set_hosts(
         &mut self,
         now: Timestamp,
         begun: Timestamp,
@@ -100,14 +100,14 @@
         if self.since.is_none_or(|since| begun >= since) || self.hosts.is_some() {
             self.hosts = Some(hosts);
         }
-        inputs.extend(self.review(now));
+        inputs.extend(self.tick(now));
         inputs
     }
 
     /// Returns whether the endpoints that get work have been determined.
     ///
     /// Before that the scheduler knows of no endpoint, which does not mean that there is none.
-    pub fn is_decided(&self, now: Timestamp) -> bool {
+    pub fn is_ready(&self, now: Timestamp) -> bool {
         let waited = self.since.is_some_and(|since| now.since(since) >= self.params.list_wait);
         self.hosts.is_some() || waited
     }
@@ -118,20 +118,20 @@
         if let Some(state) = self.endpoints.get_mut(name) {
             state.last_answer = now;
         }
-        inputs.extend(self.review(now));
+        inputs.extend(self.tick(now));
         inputs
     }
 
     /// Updates what changes by the passing of time alone; must be called several times per second.
-    pub fn review(&mut self, now: Timestamp) -> Vec<schedule::Input> {
+    pub fn tick(&mut self, now: Timestamp) -> Vec<schedule::Input> {
         let mut inputs = self.detect_pause(now);
-        if !self.is_decided(now) {
+        if !self.is_ready(now) {
             return inputs;
         }
         let no_hosts = endpoints::Hosts::default();
         let hosts = self.hosts.as_deref().unwrap_or(&no_hosts);
         for (name, state) in &mut self.endpoints {
-            state.was_listed |= hosts.names(&state.spec.host);
+            state.was_listed |= hosts.contains(&state.spec.host);
             let status = if state.is_usable(now, hosts, &self.params) {
                 endpoint_state::SentStatus::Up(state.info(name))
             } else if state.sent == endpoint_state::SentStatus::Nothing {
--- a/crates/decide/src/endpoints/hosts.rs
+++ b/crates/decide/src/endpoints/hosts.rs
@@ -15,7 +15,7 @@
 
 impl Hosts {
     /// Returns whether the list contains the host, live or leaving.
-    pub fn names(&self, host: &id::HostName) -> bool {
+    pub fn contains(&self, host: &id::HostName) -> bool {
         self.live.contains(host) || self.leaving.contains(host)
     }
 }
--- a/crates/decide/src/intents/outcome.rs
+++ b/crates/decide/src/intents/outcome.rs
@@ -19,7 +19,7 @@
     Expired,
 }
 
-impl From<Outcome> for coordinate::RecordOutcome {
+impl From<Outcome> for coordinate::WriteOutcome {
     fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Created => Self::Created,
--- a/crates/decide/src/members/entry.rs
+++ b/crates/decide/src/members/entry.rs
@@ -8,7 +8,7 @@
 /// A daemon's knowledge about one member.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    pub(crate) place: members::Place,
+    pub(crate) location: members::Location,
     pub(crate) sequence: u32,
     pub(crate) state: members::State,
     /// When this daemon accepted the current state.
@@ -24,13 +24,13 @@
 
 impl Entry {
     pub(crate) fn new(
-        place: members::Place,
+        location: members::Location,
         sequence: u32,
         state: members::State,
         now: time::Timestamp,
     ) -> Self {
         Self {
-            place,
+            location,
             sequence,
             state,
             since: now,
@@ -52,18 +52,22 @@
         (self.sequence, self.state)
     }
 
-    pub(crate) fn update(&self, incarnation: id::Incarnation, with_place: bool) -> members::Update {
+    pub(crate) fn update(
+        &self,
+        incarnation: id::Incarnation,
+        with_location: bool,
+    ) -> members::Update {
         members::Update {
             incarnation,
             sequence: self.sequence,
             state: self.state,
-            place: with_place.then(|| self.place.clone()),
+            place: with_location.then(|| self.location.clone()),
         }
     }
 
     /// Returns the entry's contribution to the table hash; 0 if the member is dead.
     pub(crate) fn hash(&self, incarnation: id::Incarnation) -> u64 {
-        if !self.state.counts() {
+        if !self.state.is_member() {
             return 0;
         }
         let mut bytes = [0; 13];
@@ -75,6 +79,6 @@
 
     /// Returns the member's contribution to the hash of the member set; 0 if the member is dead.
     pub(crate) fn member_hash(&self, incarnation: id::Incarnation) -> u64 {
-        if self.state.counts() { xxh3::xxh3_64(&incarnation.as_u64().to_le_bytes()) } else { 0 }
+        if self.state.is_member() { xxh3::xxh3_64(&incarnation.as_u64().to_le_bytes()) } else { 0 }
     }
 }
--- a/crates/decide/src/members/exchange.rs
+++ b/crates/decide/src/members/exchange.rs
@@ -83,7 +83,7 @@
     /// Returns the member whose last failure is the longest ago, if its retry is due.
     fn unreachable_due(&mut self, now: time::Timestamp) -> Option<id::Incarnation> {
         let limit = self.params.period * RETRY_PERIODS;
-        let unreachable = self.table.iter_mut().filter(|(_, entry)| entry.state.counts());
+        let unreachable = self.table.iter_mut().filter(|(_, entry)| entry.state.is_member());
         let (incarnation, entry) = unreachable
             .filter(|(_, entry)| entry.unreachable.is_some_and(|since| now.since(since) >= limit))
             .min_by_key(|(_, entry)| entry.unreachable)?;
@@ -121,8 +121,8 @@
         }
         self.times.reconnect = now;
         let known: std::collections::HashSet<_> = self.living_addresses().collect();
-        let dead = self.table.iter().filter(|(_, entry)| !entry.state.counts());
-        let mut addresses: Vec<_> = dead.map(|(_, entry)| entry.place.peer).collect();
+        let dead = self.table.iter().filter(|(_, entry)| !entry.state.is_member());
+        let mut addresses: Vec<_> = dead.map(|(_, entry)| entry.location.peer).collect();
         addresses.extend(&self.seeds);
         addresses.retain(|address| !known.contains(address));
         addresses.sort_unstable();
@@ -133,8 +133,8 @@
     }
 
     fn living_addresses(&self) -> impl Iterator<Item = net::SocketAddr> {
-        let living = self.table.iter().filter(|(_, entry)| entry.state.counts());
-        living.map(|(_, entry)| entry.place.peer)
+        let living = self.table.iter().filter(|(_, entry)| entry.state.is_member());
+        living.map(|(_, entry)| entry.location.peer)
     }
 
     /// Sends changed subtree reports to the parent and news to partners, without waiting for the
@@ -176,14 +176,14 @@
     /// A daemon that has just started or was paused first compares its table with another member's.
     /// If it finds none for long enough, it considers itself the only member.
     fn may_conclude(&self, now: time::Timestamp) -> bool {
-        let own = self.table.get(self.own).map(|own| own.place.peer);
+        let own = self.table.get(self.own).map(|own| own.location.peer);
         let no_seed = self.seeds.iter().all(|seed| Some(*seed) == own);
         let waited = now.since(self.times.start) >= self.params.reconnect * ALONE_RECONNECTS;
         !self.joining || (self.table.count() == 1 && (no_seed || waited))
     }
 
     pub(crate) fn raise_in_force(&mut self, agreed: members::Versions) {
-        let raised = self.in_force().highest(agreed);
+        let raised = self.in_force().max(agreed);
         if raised != self.in_force() {
             self.in_force = (self.table.members_hash(), raised);
         }
@@ -239,10 +239,9 @@
                 Some(members::Update { incarnation, sequence, state, place: None })
             }
             members::Target::Address(address) => {
-                let (incarnation, dead) = self
-                    .table
-                    .iter()
-                    .find(|(_, entry)| entry.place.peer == address && !entry.state.counts())?;
+                let (incarnation, dead) = self.table.iter().find(|(_, entry)| {
+                    entry.location.peer == address && !entry.state.is_member()
+                })?;
                 Some(dead.update(incarnation, false))
             }
         }
@@ -277,7 +276,7 @@
         }
         let news = rumors.into_iter().filter_map(|incarnation| {
             let entry = self.table.get(incarnation)?;
-            Some(entry.update(incarnation, entry.state.counts()))
+            Some(entry.update(incarnation, entry.state.is_member()))
         });
         members::Digest {
             from: self.own,
--- a/crates/decide/src/members/failure.rs
+++ b/crates/decide/src/members/failure.rs
@@ -20,7 +20,7 @@
         self.open_exchanges.retain(|(open, _)| *open != target);
         let members::Target::Member(target) = target else { return };
         let Some(entry) = self.table.get_mut(target) else { return };
-        if !entry.state.counts() || target == self.own {
+        if !entry.state.is_member() || target == self.own {
             return;
         }
         if entry.unreachable.replace(now).is_none() {
@@ -132,7 +132,7 @@
     pub(crate) fn remove_dead(&mut self, now: time::Timestamp) {
         let limit = self.params.forget;
         let dead = |entry: &members::entry::Entry| {
-            !entry.state.counts() && now.since(entry.since) >= limit
+            !entry.state.is_member() && now.since(entry.since) >= limit
         };
         if self.table.remove_where(dead) {
             self.changed(now);
--- a/crates/decide/src/members/place.rs
+++ b/crates/decide/src/members/location.rs
@@ -7,7 +7,7 @@
 /// The location of a daemon; it stays the same for one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct Location {
     /// The host.
     pub host: id::HostName,
     /// The availability zone.
--- a/crates/decide/src/members/membership.rs
+++ b/crates/decide/src/members/membership.rs
@@ -74,7 +74,7 @@
     /// Creates the membership of a daemon that knows only itself.
     pub fn new(
         own: id::Incarnation,
-        place: members::Place,
+        location: members::Location,
         params: members::Params,
         now: time::Timestamp,
     ) -> Self {
@@ -104,7 +104,7 @@
             incarnation: own,
             sequence: 0,
             state: members::State::Alive,
-            place: Some(place),
+            place: Some(location),
         };
         this.accept(&update, now);
         this.rebuild(now);
@@ -154,7 +154,7 @@
     }
 
     /// Returns [`members::View::hash`] without building the view.
-    pub const fn set_hash(&self) -> u64 {
+    pub const fn members_hash(&self) -> u64 {
         self.table.members_hash()
     }
 
@@ -165,20 +165,20 @@
     }
 
     /// Returns when the last digest from any peer arrived, if any.
-    pub const fn contact(&self) -> Option<time::Timestamp> {
+    pub const fn last_contact(&self) -> Option<time::Timestamp> {
         self.times.contact
     }
 
     /// Returns the address at which a member accepts connections from its peers.
     pub fn address(&self, incarnation: id::Incarnation) -> Option<net::SocketAddr> {
-        self.table.get(incarnation).map(|entry| entry.place.peer)
+        self.table.get(incarnation).map(|entry| entry.location.peer)
     }
 
     /// Records the versions that this daemon has reached; a new configuration version is sent at
     /// once.
     fn raise_versions(&mut self, versions: members::Versions) {
         self.must_push |= versions.config > self.versions.config;
-        self.versions = self.versions.highest(versions);
+        self.versions = self.versions.max(versions);
     }
 
     fn leave(&mut self, now: time::Timestamp) {
@@ -225,21 +225,22 @@
         if self.tree.is_built_for(set) {
             return;
         }
-        let counting = self.table.iter().filter(|(_, entry)| entry.state.counts());
+        let counting = self.table.iter().filter(|(_, entry)| entry.state.is_member());
         let order = counting.map(|(incarnation, _)| incarnation).collect();
         self.tree.rebuild(order, self.own, set);
         self.times.rebuild = now;
-        self.partners
-            .retain(|partner| self.table.get(*partner).is_some_and(|entry| entry.state.counts()));
+        self.partners.retain(|partner| {
+            self.table.get(*partner).is_some_and(|entry| entry.state.is_member())
+        });
     }
 }
 
 fn member(incarnation: id::Incarnation, entry: &Entry) -> members::Member {
     members::Member {
-        host: entry.place.host.clone(),
+        host: entry.location.host.clone(),
         incarnation,
-        zone: entry.place.zone.clone(),
-        peer: entry.place.peer,
+        zone: entry.location.zone.clone(),
+        peer: entry.location.peer,
         state: entry.effective_state(),
     }
 }
@@ -250,6 +251,6 @@
     own: id::Incarnation,
 ) -> collections::VecDeque<id::Incarnation> {
     let counting =
-        table.iter().filter(|(incarnation, entry)| *incarnation != own && entry.state.counts());
+        table.iter().filter(|(incarnation, entry)| *incarnation != own && entry.state.is_member());
     counting.map(|(incarnation, _)| incarnation).collect()
 }
--- a/crates/decide/src/members/merge.rs
+++ b/crates/decide/src/members/merge.rs
@@ -106,7 +106,7 @@
             // digests after every join.
             self.apply(update, now);
         } else if let Some(entry) = self.table.get(update.incarnation)
-            && entry.state.counts()
+            && entry.state.is_member()
             && entry.precedence() < update.precedence()
         {
             self.challenged.insert(update.incarnation, update.sequence);
@@ -138,7 +138,8 @@
         let entry = self.table.get(update.incarnation)?;
         let fresh = now.since(entry.since) < self.params.period * FRESH_PERIODS;
         let better = entry.precedence() > update.precedence();
-        (better && (fresh || entry.state.counts())).then(|| entry.update(update.incarnation, false))
+        (better && (fresh || entry.state.is_member()))
+            .then(|| entry.update(update.incarnation, false))
     }
 
     /// Records a message from the sender of `digest`.
--- a/crates/decide/src/members/state.rs
+++ b/crates/decide/src/members/state.rs
@@ -18,7 +18,7 @@
 
 impl State {
     /// Returns whether the member counts as part of the cluster.
-    pub const fn counts(self) -> bool {
+    pub const fn is_member(self) -> bool {
         !matches!(self, Self::Dead)
     }
 }
--- a/crates/decide/src/members/table.rs
+++ b/crates/decide/src/members/table.rs
@@ -31,7 +31,7 @@
         self.entries.get(&incarnation)
     }
 
-    /// Returns an entry whose place, sequence and state the caller must not change, since the
+    /// Returns an entry whose location, sequence and state the caller must not change, since the
     /// hashes, the count and `by_address` depend on them.
     pub(crate) fn get_mut(&mut self, incarnation: id::Incarnation) -> Option<&mut Entry> {
         self.entries.get_mut(&incarnation)
@@ -87,7 +87,7 @@
         entries
             .iter()
             .take(limit)
-            .map(|(incarnation, entry)| entry.update(*incarnation, entry.state.counts()))
+            .map(|(incarnation, entry)| entry.update(*incarnation, entry.state.is_member()))
             .collect()
     }
 
@@ -108,16 +108,16 @@
     }
 
     fn insert(&mut self, update: &members::Update, now: time::Timestamp) -> bool {
-        let Some(place) = &update.place else { return false };
+        let Some(location) = &update.place else { return false };
         if update.state == members::State::Dead {
             return false;
         }
-        let newest = *self.by_address.entry(place.peer).or_insert(update.incarnation);
+        let newest = *self.by_address.entry(location.peer).or_insert(update.incarnation);
         if newest > update.incarnation {
             return false;
         }
-        let entry = Entry::new(place.clone(), update.sequence, update.state, now);
-        self.by_address.insert(place.peer, update.incarnation);
+        let entry = Entry::new(location.clone(), update.sequence, update.state, now);
+        self.by_address.insert(location.peer, update.incarnation);
         self.entries.insert(update.incarnation, entry);
         self.toggle(update.incarnation);
         if newest != update.incarnation {
@@ -144,9 +144,9 @@
         for incarnation in &removed {
             self.toggle(*incarnation);
             if let Some(entry) = self.entries.remove(incarnation)
-                && self.by_address.get(&entry.place.peer) == Some(incarnation)
+                && self.by_address.get(&entry.location.peer) == Some(incarnation)
             {
-                self.by_address.remove(&entry.place.peer);
+                self.by_address.remove(&entry.location.peer);
             }
         }
         !removed.is_empty()
@@ -155,7 +155,7 @@
     /// Changes an entry and updates the hashes and the count.
     fn change(&mut self, incarnation: id::Incarnation, change: impl FnOnce(&mut Entry)) {
         let Some(entry) = self.entries.get(&incarnation) else { return };
-        if entry.state.counts() {
+        if entry.state.is_member() {
             self.count -= 1;
         }
         self.toggle_hashes(incarnation);
@@ -168,7 +168,7 @@
     /// Adds an entry to the hashes and the count, or removes it from the hashes if it was included.
     fn toggle(&mut self, incarnation: id::Incarnation) {
         self.toggle_hashes(incarnation);
-        if self.entries.get(&incarnation).is_some_and(|entry| entry.state.counts()) {
+        if self.entries.get(&incarnation).is_some_and(|entry| entry.state.is_member()) {
             self.count += 1;
         }
     }
--- a/crates/decide/src/members/tree.rs
+++ b/crates/decide/src/members/tree.rs
@@ -65,7 +65,7 @@
         for (set, report) in self.reports.values() {
             if *set == self.set {
                 total.count += report.count;
-                total.versions = total.versions.lowest(report.versions);
+                total.versions = total.versions.min(report.versions);
             }
         }
         total
--- a/crates/decide/src/members/update.rs
+++ b/crates/decide/src/members/update.rs
@@ -19,7 +19,7 @@
     /// The state of the member.
     pub state: members::State,
     /// The location of the member; `None` where the receiver surely knows it.
-    pub place: Option<members::Place>,
+    pub place: Option<members::Location>,
 }
 
 impl Update {
--- a/crates/decide/src/members/versions.rs
+++ b/crates/decide/src/members/versions.rs
@@ -13,13 +13,13 @@
 impl Versions {
     /// Returns the versions that both have reached.
     #[must_use]
-    pub fn lowest(self, other: Self) -> Self {
+    pub fn min(self, other: Self) -> Self {
         Self { config: self.config.min(other.config), settled: self.settled.min(other.settled) }
     }
 
     /// Returns the versions that at least one of them has reached.
     #[must_use]
-    pub fn highest(self, other: Self) -> Self {
+    pub fn max(self, other: Self) -> Self {
         Self { config: self.config.max(other.config), settled: self.settled.max(other.settled) }
     }
 }
--- a/crates/decide/src/schedule/input.rs
+++ b/crates/decide/src/schedule/input.rs
@@ -13,7 +13,8 @@
     /// A coordinator reports the progress of a request that it asked for.
     Report(schedule::Report),
     /// A coordinator reports a request in progress that another scheduler permitted.
-    Adopt(schedule::Adopted),
+    #[serde(rename = "adopt")]
+    TakeOver(schedule::TakenOver),
     /// A coordinator is lost and will send no more reports.
     ///
     /// The requests that it dispatched may still run, but only the endpoints' load reports show
--- a/crates/decide/src/schedule/mod.rs
+++ b/crates/decide/src/schedule/mod.rs
@@ -6,7 +6,6 @@
 //! describes the alternatives that were considered.
 
 mod account_share;
-mod adopted;
 mod endpoint_info;
 mod estimate;
 mod fleet;
@@ -20,10 +19,10 @@
 mod queue;
 mod report;
 mod shard;
+mod taken_over;
 mod work_rates;
 
 pub use account_share::AccountShare;
-pub use adopted::Adopted;
 pub use endpoint_info::EndpointInfo;
 pub use input::Input;
 pub use outcome::Outcome;
@@ -31,3 +30,4 @@
 pub use params::Params;
 pub use report::Report;
 pub use shard::Shard;
+pub use taken_over::TakenOver;
--- a/crates/decide/src/schedule/permitted.rs
+++ b/crates/decide/src/schedule/permitted.rs
@@ -14,7 +14,7 @@
     pub(super) endpoint: usize,
     pub(super) rank: u8,
     pub(super) checkpoints: Vec<prefix::Checkpoint>,
-    /// The work that was charged to the account; 0 for adopted requests.
+    /// The work that was charged to the account; 0 for requests taken over.
     pub(super) cost: f64,
     /// Prompt tokens that count as outstanding at the endpoint; 0 once they are processed.
     pub(super) prefill: u32,
--- a/crates/decide/src/schedule/shard/asks.rs
+++ b/crates/decide/src/schedule/shard/asks.rs
@@ -1,4 +1,4 @@
-//! Handling of asks and of adopted requests.
+//! Handling of asks and of requests taken over.
 
 use std::time;
 
@@ -102,8 +102,8 @@
         }
     }
 
-    pub(super) fn adopt(&mut self, now: Timestamp, adopted: schedule::Adopted) {
-        let schedule::Adopted { mut ask, endpoint, tokens } = adopted;
+    pub(super) fn take_over(&mut self, now: Timestamp, taken_over: schedule::TakenOver) {
+        let schedule::TakenOver { mut ask, endpoint, tokens } = taken_over;
         let Some(index) = self.fleet.index_of(&endpoint) else { return };
         if let Some(permitted) = self.permitted.get_mut(&ask.key) {
             // Another daemon has taken over the request.
--- a/crates/decide/src/schedule/shard/mod.rs
+++ b/crates/decide/src/schedule/shard/mod.rs
@@ -114,12 +114,12 @@
     }
 
     /// Returns the number of waiting requests.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
     /// Returns the number of permitted requests that have not ended.
-    pub fn permitted(&self) -> usize {
+    pub fn permitted_count(&self) -> usize {
         self.permitted.len()
     }
 
@@ -132,7 +132,7 @@
         match input {
             schedule::Input::Ask(ask) => self.ask(now, ask, outputs),
             schedule::Input::Report(report) => self.report(now, &report),
-            schedule::Input::Adopt(adopted) => self.adopt(now, adopted),
+            schedule::Input::TakeOver(taken_over) => self.take_over(now, taken_over),
             schedule::Input::CoordinatorLost(lost) => self.coordinator_lost(now, lost),
             schedule::Input::Load { endpoint, as_of, report } => {
                 self.load(&endpoint, as_of, &report);
--- a/crates/decide/src/schedule/adopted.rs
+++ b/crates/decide/src/schedule/taken_over.rs
@@ -8,7 +8,7 @@
 /// progress.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Adopted {
+pub struct TakenOver {
     /// The original request, except that `left_ms` counts from now.
     pub ask: request::Ask,
     /// The endpoint that the request runs on.
--- a/crates/decide/src/stops/mod.rs
+++ b/crates/decide/src/stops/mod.rs
@@ -1,5 +1,5 @@
 //! Detection of when planned stops have ended.
 
-mod settled;
+mod settled_version;
 
-pub use settled::{Daemon, settled};
+pub use settled_version::{Daemon, settled_version};
--- a/crates/decide/src/stops/settled.rs
+++ b/crates/decide/src/stops/settled_version.rs
@@ -23,7 +23,7 @@
 ///
 /// Once a stop is in force at this daemon, nothing new starts at its target, so an ended stop stays
 /// ended. A stop has ended for the cluster when every live daemon reports its version as settled.
-pub fn settled(
+pub fn settled_version(
     snapshot: &config::Snapshot,
     daemon: Daemon<'_>,
     is_busy: impl Fn(&id::EndpointName) -> bool,
--- a/crates/decide/tests/testsuite/coordinate/admit.rs
+++ b/crates/decide/tests/testsuite/coordinate/admit.rs
@@ -32,7 +32,7 @@
 fn a_local_request_with_the_same_id_is_joined_only_if_the_body_matches() {
     let arrival = fixture::arrival(Some(fixture::chosen(NOW_MS)));
     let local = |fingerprint| coordinate::Conditions {
-        local: Some(coordinate::Local { fingerprint }),
+        local: Some(coordinate::LocalRequest { fingerprint }),
         ..fixture::conditions()
     };
     assert_eq!(admit(&arrival, &local(9)), Ok(Admission::Attach));
--- a/crates/decide/tests/testsuite/coordinate/fixture.rs
+++ b/crates/decide/tests/testsuite/coordinate/fixture.rs
@@ -41,21 +41,21 @@
     }
 }
 
-pub(crate) fn opening(id: id::RequestId, second: bool) -> coordinate::Opening {
-    coordinate::Opening {
+pub(crate) fn initial_state(id: id::RequestId, maybe_retry: bool) -> coordinate::InitialState {
+    coordinate::InitialState {
         key: id::RequestKey { account: "a".into(), id },
         fingerprint: 9,
         own: own(),
         nonce: NONCE,
-        second,
+        maybe_retry,
         resumable: true,
         offset: 0,
         retention_ms: RETENTION_MS,
     }
 }
 
-pub(crate) fn now(mono_ms: u64) -> coordinate::Now {
-    coordinate::Now { mono: time::Timestamp::from_millis(mono_ms), unix_ms: NOW_MS }
+pub(crate) fn now(monotonic_ms: u64) -> coordinate::Now {
+    coordinate::Now { monotonic: time::Timestamp::from_millis(monotonic_ms), unix_ms: NOW_MS }
 }
 
 pub(crate) fn permit(endpoint: &str) -> request::Permit {
--- a/crates/decide/tests/testsuite/endpoints.rs
+++ b/crates/decide/tests/testsuite/endpoints.rs
@@ -52,7 +52,7 @@
 /// Advances time in steps of half a second, while `answering` answer, and returns the inputs for
 /// the scheduler.
 fn advance(
-    standings: &mut endpoints::Standings,
+    states: &mut endpoints::EndpointStates,
     seconds: std::ops::Range<u64>,
     answering: &[&str],
 ) -> Vec<String> {
@@ -60,9 +60,9 @@
     for half_second in seconds.start * 2 + 1..=seconds.end * 2 {
         let now = Timestamp::from_millis(half_second * 500);
         for name in answering {
-            inputs.extend(texts(&standings.answered(now, &(*name).into())));
+            inputs.extend(texts(&states.answered(now, &(*name).into())));
         }
-        inputs.extend(texts(&standings.review(now)));
+        inputs.extend(texts(&states.tick(now)));
     }
     inputs
 }
@@ -78,91 +78,91 @@
     inputs.iter().map(text).collect()
 }
 
-/// Returns standings of two endpoints on two live hosts, both reported as up at second 0.
-fn two_up() -> (endpoints::Standings, Vec<resource::Resource>) {
+/// Returns the states of two endpoints on two live hosts, both reported as up at second 0.
+fn two_up() -> (endpoints::EndpointStates, Vec<resource::Resource>) {
     let resources = vec![pool(1), endpoint("e1", "h1"), endpoint("e2", "h2")];
-    let mut standings = endpoints::Standings::new(POOL.into(), 0, endpoints::Params::default());
+    let mut states = endpoints::EndpointStates::new(POOL.into(), 0, endpoints::Params::default());
     let snapshot = config::Snapshot::of(1, resources.clone());
-    assert!(standings.configure(at(0), &snapshot).is_empty());
-    assert_eq!(texts(&standings.list(at(0), at(0), hosts(&["h1", "h2"], &[]))), ["+e1", "+e2"]);
-    (standings, resources)
+    assert!(states.apply_config(at(0), &snapshot).is_empty());
+    assert_eq!(texts(&states.set_hosts(at(0), at(0), hosts(&["h1", "h2"], &[]))), ["+e1", "+e2"]);
+    (states, resources)
 }
 
 #[test]
 fn no_endpoint_gets_work_before_the_list_was_read() {
     let resources = vec![pool(1), endpoint("e1", "h1"), endpoint("e2", "h2")];
-    let mut standings = endpoints::Standings::new(POOL.into(), 0, endpoints::Params::default());
-    standings.configure(at(0), &config::Snapshot::of(1, resources));
-    assert!(standings.review(at(1)).is_empty());
-    assert_eq!(texts(&standings.list(at(1), at(1), hosts(&["h1"], &["h2"]))), ["+e1"]);
+    let mut states = endpoints::EndpointStates::new(POOL.into(), 0, endpoints::Params::default());
+    states.apply_config(at(0), &config::Snapshot::of(1, resources));
+    assert!(states.tick(at(1)).is_empty());
+    assert_eq!(texts(&states.set_hosts(at(1), at(1), hosts(&["h1"], &["h2"]))), ["+e1"]);
 }
 
 #[test]
 fn without_a_list_work_continues_after_the_wait() {
-    let mut standings = endpoints::Standings::new(POOL.into(), 0, endpoints::Params::default());
+    let mut states = endpoints::EndpointStates::new(POOL.into(), 0, endpoints::Params::default());
     let snapshot = config::Snapshot::of(1, vec![pool(1), endpoint("e1", "h1")]);
-    standings.configure(at(0), &snapshot);
-    assert_eq!(advance(&mut standings, 0..1, &[]), [""; 0]);
-    assert_eq!(advance(&mut standings, 1..2, &[]), ["+e1"]);
+    states.apply_config(at(0), &snapshot);
+    assert_eq!(advance(&mut states, 0..1, &[]), [""; 0]);
+    assert_eq!(advance(&mut states, 1..2, &[]), ["+e1"]);
 }
 
 #[test]
 fn an_endpoint_on_a_leaving_host_is_leaving_at_once() {
-    let (mut standings, _) = two_up();
-    assert_eq!(texts(&standings.list(at(1), at(1), hosts(&["h1"], &["h2"]))), ["-e2"]);
-    assert!(standings.list(at(1), at(1), hosts(&["h1"], &["h2"])).is_empty());
-    assert_eq!(texts(&standings.list(at(2), at(2), hosts(&["h1", "h2"], &[]))), ["+e2"]);
+    let (mut states, _) = two_up();
+    assert_eq!(texts(&states.set_hosts(at(1), at(1), hosts(&["h1"], &["h2"]))), ["-e2"]);
+    assert!(states.set_hosts(at(1), at(1), hosts(&["h1"], &["h2"])).is_empty());
+    assert_eq!(texts(&states.set_hosts(at(2), at(2), hosts(&["h1", "h2"], &[]))), ["+e2"]);
 }
 
 #[test]
 fn an_unlisted_host_is_gone_only_if_it_was_listed_before() {
-    let (mut standings, mut resources) = two_up();
+    let (mut states, mut resources) = two_up();
     resources.push(endpoint("e3", "h3"));
     let snapshot = config::Snapshot::of(2, resources);
-    assert_eq!(texts(&standings.configure(at(1), &snapshot)), ["+e3"]);
-    assert_eq!(texts(&standings.list(at(1), at(1), hosts(&["h1"], &[]))), ["-e2"]);
+    assert_eq!(texts(&states.apply_config(at(1), &snapshot)), ["+e3"]);
+    assert_eq!(texts(&states.set_hosts(at(1), at(1), hosts(&["h1"], &[]))), ["-e2"]);
 }
 
 #[test]
 fn a_planned_stop_ends_new_work_until_it_is_deleted() {
-    let (mut standings, mut resources) = two_up();
+    let (mut states, mut resources) = two_up();
     resources.push(stop("e1"));
     let stopped = config::Snapshot::of(2, resources.clone());
-    assert_eq!(texts(&standings.configure(at(1), &stopped)), ["-e1"]);
+    assert_eq!(texts(&states.apply_config(at(1), &stopped)), ["-e1"]);
     resources.pop();
     let again = config::Snapshot::of(3, resources);
-    assert_eq!(texts(&standings.configure(at(1), &again)), ["+e1"]);
+    assert_eq!(texts(&states.apply_config(at(1), &again)), ["+e1"]);
 }
 
 #[test]
 fn a_deleted_endpoint_is_kept_for_its_work_in_progress() {
-    let (mut standings, mut resources) = two_up();
+    let (mut states, mut resources) = two_up();
     resources.pop();
     let without = config::Snapshot::of(2, resources);
-    assert_eq!(texts(&standings.configure(at(1), &without)), ["-e2"]);
-    assert_eq!(standings.watched().count(), 2);
-    assert_eq!(advance(&mut standings, 1..60, &["e1"]), [""; 0]);
-    assert_eq!(advance(&mut standings, 60..61, &["e1"]), ["gone e2"]);
-    assert_eq!(standings.watched().count(), 1);
+    assert_eq!(texts(&states.apply_config(at(1), &without)), ["-e2"]);
+    assert_eq!(states.polled().count(), 2);
+    assert_eq!(advance(&mut states, 1..60, &["e1"]), [""; 0]);
+    assert_eq!(advance(&mut states, 60..61, &["e1"]), ["gone e2"]);
+    assert_eq!(states.polled().count(), 1);
 }
 
 #[test]
 fn an_endpoint_that_does_not_answer_gets_no_work_until_it_does() {
-    let (mut standings, _) = two_up();
-    assert_eq!(advance(&mut standings, 0..2, &["e1"]), [""; 0]);
-    assert_eq!(advance(&mut standings, 2..3, &["e1"]), ["-e2"]);
-    assert_eq!(texts(&standings.answered(at(4), &"e2".into())), ["+e2"]);
+    let (mut states, _) = two_up();
+    assert_eq!(advance(&mut states, 0..2, &["e1"]), [""; 0]);
+    assert_eq!(advance(&mut states, 2..3, &["e1"]), ["-e2"]);
+    assert_eq!(texts(&states.answered(at(4), &"e2".into())), ["+e2"]);
 }
 
 #[test]
 fn after_a_pause_no_endpoint_gets_work_before_a_new_reading() {
-    let (mut standings, _) = two_up();
+    let (mut states, _) = two_up();
     // Any call may be the first after the pause; here it is an endpoint's answer.
-    assert_eq!(texts(&standings.answered(at(9), &"e1".into())), ["-e1", "-e2"]);
+    assert_eq!(texts(&states.answered(at(9), &"e1".into())), ["-e1", "-e2"]);
     // A reading started before the pause is out of date.
     let list = hosts(&["h1", "h2"], &[]);
-    assert!(standings.list(at(9), at(1), list).is_empty());
-    assert_eq!(texts(&standings.list(at(10), at(9), hosts(&["h1"], &["h2"]))), ["+e1"]);
+    assert!(states.set_hosts(at(9), at(1), list).is_empty());
+    assert_eq!(texts(&states.set_hosts(at(10), at(9), hosts(&["h1"], &["h2"]))), ["+e1"]);
 }
 
 #[test]
@@ -182,11 +182,11 @@
 
 #[test]
 fn a_changed_description_is_sent_again() {
-    let (mut standings, mut resources) = two_up();
+    let (mut states, mut resources) = two_up();
     let resource::Spec::Endpoint(spec) = &mut resources[1].spec else { panic!() };
     spec.slots = 4;
     let changed = config::Snapshot::of(2, resources);
-    assert_eq!(texts(&standings.configure(at(1), &changed)), ["+e1"]);
+    assert_eq!(texts(&states.apply_config(at(1), &changed)), ["+e1"]);
     let later = Duration::from_millis(100);
-    assert!(standings.review(at(1) + later).is_empty());
+    assert!(states.tick(at(1) + later).is_empty());
 }
--- a/crates/decide/tests/testsuite/schedule_basics.rs
+++ b/crates/decide/tests/testsuite/schedule_basics.rs
@@ -41,7 +41,7 @@
     driver.ask(ask(1, 0));
     driver.ask(ask(2, 0));
     driver.ask(ask(2, 0));
-    assert_eq!(driver.shard.waiting(), 1);
+    assert_eq!(driver.shard.waiting_count(), 1);
 }
 
 #[test]
@@ -82,7 +82,7 @@
     driver.finished(&key(1), 10);
     driver.started(&key(1));
     driver.progress(&key(1), 5);
-    assert_eq!(driver.shard.permitted(), 0);
+    assert_eq!(driver.shard.permitted_count(), 0);
     assert_eq!(granted(&driver.ask(ask(2, 0))), [key(2)]);
     assert_eq!(granted(&driver.ask(ask(3, 0))), []);
 }
@@ -93,7 +93,7 @@
     driver.ask(ask(1, 0));
     driver.advance(100).progress(&key(1), 3);
     driver.advance(10_000).tick();
-    assert_eq!(driver.shard.permitted(), 1);
+    assert_eq!(driver.shard.permitted_count(), 1);
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let mut driver = Driver::new(1, 1);
     driver.ask(ask(1, 0));
     driver.step(schedule::Input::EndpointGone("e0".into()));
-    assert_eq!(driver.shard.permitted(), 0);
+    assert_eq!(driver.shard.permitted_count(), 0);
     driver.ask(ask(2, 0));
     assert_eq!(granted(&driver.up("e0", 1)), [key(2)]);
 }
@@ -129,10 +129,10 @@
 #[test]
 fn adopted_request_occupies_a_slot() {
     let mut driver = Driver::new(1, 1);
-    let adopted = schedule::Adopted { ask: ask(1, 0), endpoint: "e0".into(), tokens: 0 };
-    driver.step(schedule::Input::Adopt(adopted.clone()));
-    driver.step(schedule::Input::Adopt(adopted));
-    assert_eq!(driver.shard.permitted(), 1);
+    let taken_over = schedule::TakenOver { ask: ask(1, 0), endpoint: "e0".into(), tokens: 0 };
+    driver.step(schedule::Input::TakeOver(taken_over.clone()));
+    driver.step(schedule::Input::TakeOver(taken_over));
+    assert_eq!(driver.shard.permitted_count(), 1);
     assert_eq!(granted(&driver.ask(ask(2, 0))), []);
     assert_eq!(granted(&driver.finished(&key(1), 10)), [key(2)]);
 }
@@ -143,9 +143,9 @@
     driver.ask(ask(1, 0));
     driver.ask(ask(2, 0));
     driver.report(schedule::Report::Cancel { key: key(2) });
-    assert_eq!(driver.shard.waiting(), 0);
+    assert_eq!(driver.shard.waiting_count(), 0);
     driver.report(schedule::Report::Cancel { key: key(1) });
-    assert_eq!(driver.shard.permitted(), 0);
+    assert_eq!(driver.shard.permitted_count(), 0);
 }
 
 #[test]
@@ -154,7 +154,7 @@
     let mut late = ask(1, 0);
     late.left_ms = 0;
     assert_eq!(shed(&driver.ask(late)), [key(1)]);
-    assert_eq!(driver.shard.waiting(), 0);
+    assert_eq!(driver.shard.waiting_count(), 0);
 }
 
 #[test]
@@ -204,10 +204,10 @@
     driver.started(&key(1));
     let mut taken = ask(1, 0);
     taken.coordinator = id::Incarnation::from_u64(2);
-    let adopted = schedule::Adopted { ask: taken, endpoint: "e0".into(), tokens: 0 };
-    driver.step(schedule::Input::Adopt(adopted));
+    let taken_over = schedule::TakenOver { ask: taken, endpoint: "e0".into(), tokens: 0 };
+    driver.step(schedule::Input::TakeOver(taken_over));
     driver.step(schedule::Input::CoordinatorLost(id::Incarnation::from_u64(1)));
-    assert_eq!(driver.shard.permitted(), 1);
+    assert_eq!(driver.shard.permitted_count(), 1);
 }
 
 #[test]
@@ -224,5 +224,5 @@
     driver.advance(100).finished(&key(1), 10);
     driver.ask(ask(2, 0));
     driver.run(30_000);
-    assert_eq!(driver.shard.waiting(), 0);
+    assert_eq!(driver.shard.waiting_count(), 0);
 }
--- a/crates/decide/tests/testsuite/schedule_order.rs
+++ b/crates/decide/tests/testsuite/schedule_order.rs
@@ -143,7 +143,7 @@
             }
         }
         self.check_final();
-        assert_eq!(self.driver.shard.waiting(), self.waiting.len());
+        assert_eq!(self.driver.shard.waiting_count(), self.waiting.len());
     }
 
     /// Checks that no request of a higher tier waits, or was shed and could still have been
--- a/crates/decide/tests/testsuite/schedule_place.rs
+++ b/crates/decide/tests/testsuite/schedule_place.rs
@@ -119,7 +119,7 @@
         long.prompt_tokens = 30_000;
         driver.ask(long);
     }
-    assert_eq!(driver.shard.permitted(), 1);
+    assert_eq!(driver.shard.permitted_count(), 1);
     assert_eq!(granted(&driver.ask(ask(9, 0))), [key(9)]);
 }
 
--- a/crates/decide/tests/testsuite/stops.rs
+++ b/crates/decide/tests/testsuite/stops.rs
@@ -28,30 +28,30 @@
     resource(name, version, resource::Spec::PlannedStop(spec))
 }
 
-fn settled(stop: resource::Resource, busy: &[&str], daemon_busy: bool) -> u64 {
+fn settled_version(stop: resource::Resource, busy: &[&str], daemon_busy: bool) -> u64 {
     let resources = vec![endpoint("e1", "h1"), endpoint("e2", "h2"), stop];
     let snapshot = config::Snapshot::of(9, resources);
     let busy: collections::BTreeSet<id::EndpointName> = busy.iter().map(|e| (*e).into()).collect();
     let host = "h1".into();
     let daemon = stops::Daemon { host: &host, is_busy: daemon_busy };
-    stops::settled(&snapshot, daemon, |endpoint| busy.contains(endpoint))
+    stops::settled_version(&snapshot, daemon, |endpoint| busy.contains(endpoint))
 }
 
 #[test]
 fn a_stop_is_open_while_anything_runs_at_its_target() {
     let one = |version| stop("s", version, resource::StopTarget::Endpoint("e1".into()));
-    assert_eq!(settled(one(5), &["e1"], false), 4);
-    assert_eq!(settled(one(5), &["e2"], true), 9);
+    assert_eq!(settled_version(one(5), &["e1"], false), 4);
+    assert_eq!(settled_version(one(5), &["e2"], true), 9);
     let host = stop("s", 5, resource::StopTarget::Host("h2".into()));
-    assert_eq!(settled(host.clone(), &["e2"], false), 4);
-    assert_eq!(settled(host, &["e1"], true), 9);
+    assert_eq!(settled_version(host.clone(), &["e2"], false), 4);
+    assert_eq!(settled_version(host, &["e1"], true), 9);
     let pool = stop("s", 5, resource::StopTarget::Pool("p".into()));
-    assert_eq!(settled(pool, &["e2"], false), 4);
+    assert_eq!(settled_version(pool, &["e2"], false), 4);
 }
 
 #[test]
 fn a_stop_of_the_daemons_own_host_waits_for_all_its_requests() {
     let host = || stop("s", 5, resource::StopTarget::Host("h1".into()));
-    assert_eq!(settled(host(), &[], true), 4);
-    assert_eq!(settled(host(), &[], false), 9);
+    assert_eq!(settled_version(host(), &[], true), 4);
+    assert_eq!(settled_version(host(), &[], false), 9);
 }
--- a/crates/spec/src/answers/mod.rs
+++ b/crates/spec/src/answers/mod.rs
@@ -12,7 +12,8 @@
 use crate::{explore, invariant::Invariant};
 
 const CREATED_MS: u64 = 1_000_000;
-const NOW: coordinate::Now = coordinate::Now { mono: time::Timestamp::ZERO, unix_ms: CREATED_MS };
+const NOW: coordinate::Now =
+    coordinate::Now { monotonic: time::Timestamp::ZERO, unix_ms: CREATED_MS };
 
 /// States the size of the model and the guards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +60,7 @@
     fn new() -> Self {
         let permit = permit();
         let (mut request, _) = coordinate::RequestState::start(
-            opening(permit.key.clone()),
+            initial_state(permit.key.clone()),
             coordinate::Admission::Start(coordinate::Recording::Unrecorded),
         );
         request.step(NOW, Input::Permit(permit));
@@ -142,13 +143,13 @@
     }
 }
 
-fn opening(key: id::RequestKey) -> coordinate::Opening {
-    coordinate::Opening {
+fn initial_state(key: id::RequestKey) -> coordinate::InitialState {
+    coordinate::InitialState {
         key,
         fingerprint: 0,
         own: id::Incarnation::from_u64(1),
         nonce: id::Nonce(1),
-        second: false,
+        maybe_retry: false,
         resumable: true,
         offset: 0,
         retention_ms: 1_000,
--- a/crates/spec/src/requests/effects.rs
+++ b/crates/spec/src/requests/effects.rs
@@ -34,14 +34,14 @@
     late: bool,
 ) {
     let late = late && bounds.guards.expiry;
-    let mono = time::Timestamp::from_millis(if late { 2 * PERMIT_MS } else { 0 });
+    let monotonic = time::Timestamp::from_millis(if late { 2 * PERMIT_MS } else { 0 });
     let checked = bounds.guards.recheck;
     let unix_ms = if checked { world.unix_ms(daemon) } else { world::CREATED_MS };
     let Some(request) = &mut world.daemon(daemon).request else {
         return;
     };
     let input = if bounds.guards.nonce { input } else { take_as_own(input, request.nonce()) };
-    let actions = request.step(coordinate::Now { mono, unix_ms }, input);
+    let actions = request.step(coordinate::Now { monotonic, unix_ms }, input);
     perform(bounds, world, daemon, actions);
 }
 
@@ -96,7 +96,7 @@
         policy: bounds.policy,
         retention_ms: retention_ms(bounds),
         skew_ms: 0,
-        local: kept.map(|request| coordinate::Local { fingerprint: request.fingerprint() }),
+        local: kept.map(|request| coordinate::LocalRequest { fingerprint: request.fingerprint() }),
     }
 }
 
@@ -109,7 +109,7 @@
         return;
     };
     if bounds.guards.join {
-        request.join(arrival.may_be_second());
+        request.join(arrival.may_be_retry());
     }
     let told = match request.phase() {
         coordinate::Phase::Answered => Told::Answer,
@@ -133,18 +133,18 @@
     let Some(id) = world.caller.id else {
         return;
     };
-    let opening = coordinate::Opening {
+    let initial = coordinate::InitialState {
         key: id::RequestKey { account: "a".into(), id },
         fingerprint: FINGERPRINT,
         own: world::incarnation(daemon),
         nonce: id::Nonce(world.nonce),
-        second: arrival.may_be_second(),
+        maybe_retry: arrival.may_be_retry(),
         resumable: true,
         offset: 0,
         retention_ms: retention_ms(bounds),
     };
     world.nonce += 1;
-    let (request, actions) = coordinate::RequestState::start(opening, admission);
+    let (request, actions) = coordinate::RequestState::start(initial, admission);
     world.daemon(daemon).request = Some(request);
     perform(bounds, world, daemon, actions);
 }
@@ -172,36 +172,36 @@
 
 /// Makes any intent look like the daemon's own.
 fn take_as_own(input: coordinate::Input, nonce: id::Nonce) -> coordinate::Input {
-    use coordinate::{Input, LookUp, RecordOutcome};
+    use coordinate::{Input, ReadOutcome, WriteOutcome};
     use request::Record;
 
     match input {
-        Input::Recorded(RecordOutcome::Exists(Record::Intent(mut intent))) => {
+        Input::Recorded(WriteOutcome::Exists(Record::Intent(mut intent))) => {
             intent.nonce = nonce;
-            Input::Recorded(RecordOutcome::Exists(Record::Intent(intent)))
+            Input::Recorded(WriteOutcome::Exists(Record::Intent(intent)))
         }
-        Input::LookedUp(LookUp::Found(Record::Intent(mut intent))) => {
+        Input::LookedUp(ReadOutcome::Found(Record::Intent(mut intent))) => {
             intent.nonce = nonce;
-            Input::LookedUp(LookUp::Found(Record::Intent(intent)))
+            Input::LookedUp(ReadOutcome::Found(Record::Intent(intent)))
         }
         input => input,
     }
 }
 
 fn perform(bounds: &Bounds, world: &mut World, daemon: usize, actions: Vec<coordinate::Action>) {
-    use coordinate::{Action, Input, RecordOutcome};
+    use coordinate::{Action, Input, WriteOutcome};
 
     for action in actions {
         match action {
-            Action::Ask => begin(world, daemon, Operation::Ask),
+            Action::RequestPermit => begin(world, daemon, Operation::Ask),
             Action::Withdraw => {
                 world.daemon(daemon).operations.retain(|one| *one != Operation::Ask);
             }
             Action::Record(request::Record::Closed { .. }) if !bounds.guards.closing => {
-                feed(bounds, world, daemon, Input::Recorded(RecordOutcome::Created), false);
+                feed(bounds, world, daemon, Input::Recorded(WriteOutcome::Created), false);
             }
             Action::Record(record) => begin(world, daemon, Operation::Write(record)),
-            Action::LookUp => begin(world, daemon, Operation::Read),
+            Action::ReadRecord => begin(world, daemon, Operation::Read),
             Action::Dispatch(endpoint) => begin(world, daemon, Operation::Send(endpoint)),
             Action::Resume { endpoint, .. } => begin(world, daemon, Operation::Resume(endpoint)),
             Action::Attach { coordinator, .. } => {
@@ -211,7 +211,7 @@
                 tell(world, daemon, Told::Answer);
             }
             Action::Refuse(refusal) => tell(world, daemon, Told::Refusal(refusal.kind)),
-            Action::Deliver(_) | Action::HandBack(_) | Action::Cancel(_) => {}
+            Action::Deliver(_) | Action::ReturnPermit(_) | Action::Cancel(_) => {}
         }
     }
     let request = world.daemons[daemon].request.as_ref();
--- a/crates/spec/src/requests/next.rs
+++ b/crates/spec/src/requests/next.rs
@@ -1,6 +1,6 @@
 //! Which steps are possible in a state.
 
-use trefoildyke_decide::coordinate::{self, Input, LookUp, RecordOutcome};
+use trefoildyke_decide::coordinate::{self, Input, ReadOutcome, WriteOutcome};
 use trefoildyke_types::{id, request};
 
 use crate::requests::{
@@ -141,9 +141,10 @@
             Operation::Write(record) => self.write(at, record),
             Operation::Written(outcome) => self.written(at, outcome),
             Operation::Read => {
-                let outcome = self.world.record.clone().map_or(LookUp::Absent, LookUp::Found);
+                let outcome =
+                    self.world.record.clone().map_or(ReadOutcome::Absent, ReadOutcome::Found);
                 self.replace(Step::Read(daemon), at, Operation::Reading(outcome));
-                let input = Input::LookedUp(LookUp::Unavailable);
+                let input = Input::LookedUp(ReadOutcome::Unavailable);
                 self.settle(Step::FailRead(daemon), at, input, false);
             }
             Operation::Reading(outcome) => {
@@ -178,28 +179,28 @@
     fn write(&mut self, at: (usize, usize), record: &request::Record) {
         let (daemon, number) = at;
         let outcome = match &self.world.record {
-            Some(stands) => RecordOutcome::Exists(stands.clone()),
-            None => RecordOutcome::Created,
+            Some(stands) => WriteOutcome::Exists(stands.clone()),
+            None => WriteOutcome::Created,
         };
         self.add(Step::Apply(daemon), |_, world| {
             world.record.get_or_insert_with(|| record.clone());
             world.daemon(daemon).operations[number] = Operation::Written(outcome);
         });
-        let refused = Input::Recorded(RecordOutcome::Unavailable);
+        let refused = Input::Recorded(WriteOutcome::Unavailable);
         self.settle(Step::RefuseWrite(daemon), at, refused, false);
         self.add(Step::LoseWrite(daemon), |bounds, world| {
             world.daemon(daemon).operations.remove(number);
             effects::write_late(world, record.clone());
-            feed(bounds, world, daemon, Input::Recorded(RecordOutcome::Unsure), false);
+            feed(bounds, world, daemon, Input::Recorded(WriteOutcome::Unsure), false);
         });
     }
 
-    fn written(&mut self, at: (usize, usize), outcome: &RecordOutcome) {
+    fn written(&mut self, at: (usize, usize), outcome: &WriteOutcome) {
         for late in [false, true] {
             let input = Input::Recorded(outcome.clone());
             self.settle(Step::Written(at.0, late), at, input, late);
         }
-        let unsure = Input::Recorded(RecordOutcome::Unsure);
+        let unsure = Input::Recorded(WriteOutcome::Unsure);
         self.settle(Step::LoseWritten(at.0), at, unsure, false);
     }
 
--- a/crates/spec/src/requests/operation.rs
+++ b/crates/spec/src/requests/operation.rs
@@ -11,11 +11,11 @@
     /// A record is on its way to the key-value service.
     Write(request::Record),
     /// The service's answer to a write is on its way.
-    Written(coordinate::RecordOutcome),
+    Written(coordinate::WriteOutcome),
     /// A read is on its way to the key-value service.
     Read,
     /// The service's answer to a read is on its way.
-    Reading(coordinate::LookUp),
+    Reading(coordinate::ReadOutcome),
     /// The request is on its way to an endpoint.
     Send(id::EndpointName),
     /// The endpoint has the request and the answer is on its way.
--- a/crates/spec/src/stops/next.rs
+++ b/crates/spec/src/stops/next.rs
@@ -1,6 +1,6 @@
 //! Which steps are possible in a state.
 
-use trefoildyke_decide::coordinate::{self, Action, Input, Phase, RecordOutcome, Waiting};
+use trefoildyke_decide::coordinate::{self, Action, Input, Phase, Waiting, WriteOutcome};
 use trefoildyke_types::{id, request, time};
 
 use crate::stops::{
@@ -9,7 +9,8 @@
 };
 
 const CREATED_MS: u64 = 1_000_000;
-const NOW: coordinate::Now = coordinate::Now { mono: time::Timestamp::ZERO, unix_ms: CREATED_MS };
+const NOW: coordinate::Now =
+    coordinate::Now { monotonic: time::Timestamp::ZERO, unix_ms: CREATED_MS };
 
 /// Collects the steps that are possible in one state.
 struct Steps<'a> {
@@ -112,7 +113,7 @@
             if check && !takes_work {
                 feed(world, number, Input::EndpointLeaving);
             }
-            feed(world, number, Input::Recorded(RecordOutcome::Created));
+            feed(world, number, Input::Recorded(WriteOutcome::Created));
         });
     }
 }
@@ -159,17 +160,17 @@
     let admission = coordinate::admit(&arrival, &conditions).ok()?;
     let uuid = uuid::Builder::from_unix_timestamp_millis(CREATED_MS, &[0; 10]).into_uuid();
     let id = coordinate::issue(uuid, own, coordinate::Recording::Required);
-    let opening = coordinate::Opening {
+    let initial = coordinate::InitialState {
         key: id::RequestKey { account: "a".into(), id },
         fingerprint: 0,
         own,
         nonce: id::Nonce(number as u64),
-        second: false,
+        maybe_retry: false,
         resumable: true,
         offset: 0,
         retention_ms: 1_000,
     };
-    Some(coordinate::RequestState::start(opening, admission).0)
+    Some(coordinate::RequestState::start(initial, admission).0)
 }
 
 fn permit(request: &coordinate::RequestState) -> request::Permit {
--- a/crates/spec/src/stops/world.rs
+++ b/crates/spec/src/stops/world.rs
@@ -99,7 +99,7 @@
         let loaded = bounds.guards.load && schedules && (waits || !self.running.is_empty());
         let host: id::HostName = "own".into();
         let reporter = stops::Daemon { host: &host, is_busy: dispatched };
-        stops::settled(&snapshot(own.version), reporter, |_| dispatched || loaded)
+        stops::settled_version(&snapshot(own.version), reporter, |_| dispatched || loaded)
     }
 }
 
--- a/testbed/src/experiment/goals/cost.rs
+++ b/testbed/src/experiment/goals/cost.rs
@@ -57,7 +57,7 @@
             };
             bench.feed(schedule::Input::EndpointUp(info));
         }
-        while bench.shard.waiting() < waiting as usize && bench.next < 2 * waiting + 1_000 {
+        while bench.shard.waiting_count() < waiting as usize && bench.next < 2 * waiting + 1_000 {
             bench.ask();
         }
         bench
--- a/testbed/src/experiment/policy/coordinators.rs
+++ b/testbed/src/experiment/policy/coordinators.rs
@@ -65,7 +65,7 @@
     /// Returns what a new scheduler has to be told, work in progress first.
     pub(super) fn retell(&self, now: Timestamp, fleet: &policy::Fleet) -> Vec<schedule::Input> {
         let running = self.running.values().map(|running| {
-            schedule::Input::Adopt(schedule::Adopted {
+            schedule::Input::TakeOver(schedule::TakenOver {
                 ask: running.pending.ask_at(now),
                 endpoint: fleet.endpoints[running.endpoint].name.clone(),
                 tokens: running.tokens,
--- a/testbed/src/gossip/group.rs
+++ b/testbed/src/gossip/group.rs
@@ -73,7 +73,7 @@
     fn create(&mut self, number: usize) -> Node {
         self.next_life += 1;
         let mut node = Node::new(number, self.next_life, self.params, self.now);
-        let seeds = vec![super::place(0).peer, super::place(1).peer];
+        let seeds = vec![super::location(0).peer, super::location(1).peer];
         node.membership.step(self.now, members::Input::Seeds(seeds));
         self.by_life.insert(node.incarnation, number);
         node
@@ -144,7 +144,7 @@
             let view = node.membership.view();
             claimed > 0
                 && view.members.iter().any(|member| {
-                    member.state.counts() && reached(member).copied().unwrap_or(0) < claimed
+                    member.state.is_member() && reached(member).copied().unwrap_or(0) < claimed
                 })
         })
     }
@@ -221,7 +221,7 @@
 
     fn spoil(&self, to: usize, digest: &mut members::Digest) {
         let membership = &self.nodes[to].membership;
-        self.broken.change(digest, membership.set_hash(), self.nodes.len());
+        self.broken.change(digest, membership.members_hash(), self.nodes.len());
     }
 
     fn probe(&mut self, from: usize, via: id::Incarnation, target: id::Incarnation) {
@@ -276,7 +276,7 @@
         incarnation: node.incarnation,
         sequence: 0,
         state: members::State::Alive,
-        place: Some(members::Place {
+        place: Some(members::Location {
             host: member.host.clone(),
             zone: member.zone.clone(),
             peer: member.peer,
--- a/testbed/src/gossip/mod.rs
+++ b/testbed/src/gossip/mod.rs
@@ -12,5 +12,5 @@
 pub use broken::Broken;
 pub use group::Group;
 pub use link::Link;
-pub use node::{Node, place};
+pub use node::{Node, location};
 pub use traffic::Traffic;
--- a/testbed/src/gossip/node.rs
+++ b/testbed/src/gossip/node.rs
@@ -31,19 +31,19 @@
         params: members::Params,
         now: time::Timestamp,
     ) -> Self {
-        let place = place(number);
-        let address = place.peer;
+        let location = location(number);
+        let address = location.peer;
         let incarnation = id::Incarnation::from_u64(incarnation);
-        let membership = members::Membership::new(incarnation, place, params, now);
+        let membership = members::Membership::new(incarnation, location, params, now);
         let traffic = Traffic::default();
         Self { membership, incarnation, address, running: true, config: 0, traffic }
     }
 }
 
 /// Returns where the member with `number` runs; there are 13 zones.
-pub fn place(number: usize) -> members::Place {
+pub fn location(number: usize) -> members::Location {
     let [high, low] = u16::try_from(number).unwrap_or(u16::MAX).to_be_bytes();
-    members::Place {
+    members::Location {
         host: id::HostName::new(&format!("host-{number:05}.example")),
         zone: id::ZoneName::new(&format!("zone-{:02}", number % 13)),
         peer: net::SocketAddr::from(([10, 0, high, low], 7400)),
--- a/testbed/src/measure/intents/load.rs
+++ b/testbed/src/measure/intents/load.rs
@@ -36,7 +36,7 @@
         records.spawn(async move {
             let started = time::Instant::now();
             let outcome = handle.record(&key(), &record).await;
-            (outcome == coordinate::RecordOutcome::Created, started.elapsed())
+            (outcome == coordinate::WriteOutcome::Created, started.elapsed())
         });
     }
     let mut taken = Taken { created: hdrhistogram::Histogram::new(3)?, failed: 0 };
--- a/testbed/src/member/start.rs
+++ b/testbed/src/member/start.rs
@@ -56,7 +56,7 @@
         let scope = kernel.traffic().child();
         let address = self.listener.local_addr()?;
         let incarnation = id::Incarnation::new(self.number, 0);
-        let place = members::Place {
+        let location = members::Location {
             host: id::HostName::new(&format!("host-{}", self.number)),
             zone: id::ZoneName::new("zone"),
             peer: self.advertise.unwrap_or(address),
@@ -64,7 +64,7 @@
         let identity =
             peer::Identity { incarnation, keys: self.keys, clock: peer::Clock::default() };
         let (members, runner) =
-            service::new(incarnation, place, self.params, clock::Clock::start());
+            service::new(incarnation, location, self.params, clock::Clock::start());
         let known = members.clone();
         let find = move |incarnation| known.address(incarnation);
         let settings = peers::Settings::default();
