--- a/crates/daemon/src/config/learner.rs
+++ b/crates/daemon/src/config/learner.rs
@@ -70,7 +70,8 @@
                 request.after = resources.last().map(trefoildyke_types::resource::Resource::key);
                 all_resources.extend(resources);
                 if !more {
-                    let snapshot = sync::Arc::new(config::Snapshot::of(version, all_resources));
+                    let snapshot =
+                        sync::Arc::new(config::Snapshot::from_resources(version, all_resources));
                     return handle.replace(snapshot).await.map(|_| ());
                 }
             }
--- a/crates/daemon/src/config/store.rs
+++ b/crates/daemon/src/config/store.rs
@@ -64,8 +64,8 @@
             if stored.root.version == current.version() {
                 return Ok((stored, sync::Arc::clone(current)));
             }
-            if stored.root.reaches_back(current.version()) {
-                let snapshot = stored.root.catch_up(current)?;
+            if stored.root.covers(current.version()) {
+                let snapshot = stored.root.apply_tail(current)?;
                 return Ok((stored, snapshot.into()));
             }
             if let Some(values) = self.read_chunks(&stored.root).await? {
@@ -139,7 +139,7 @@
             let page = self.kv.list(&list).await?;
             let keys = page.entries.iter().map(|entry| &entry.key);
             let obsolete: Vec<_> =
-                keys.filter(|key| storage::obsolete(key, root.previous_fold)).collect();
+                keys.filter(|key| storage::is_obsolete_chunk(key, root.previous_fold)).collect();
             if obsolete.is_empty() {
                 return Ok(());
             }
--- a/crates/daemon/src/config/watcher.rs
+++ b/crates/daemon/src/config/watcher.rs
@@ -113,7 +113,7 @@
     if stored.root.version < current.version() {
         return restore(handle).await;
     }
-    if stored.root.reaches_back(current.version()) {
+    if stored.root.covers(current.version()) {
         return handle.extend(stored.root.tail).await.map(|_| ());
     }
     let (_, snapshot) = handle.store.load(stored, &current).await?;
--- a/crates/daemon/src/config/writer.rs
+++ b/crates/daemon/src/config/writer.rs
@@ -79,9 +79,9 @@
         if let Some(base) = self.pending_base {
             match stored.root.outcome(base, self.nonce) {
                 storage::Outcome::Applied => return self.adopt(stored).await.map(Some),
-                storage::Outcome::Lost => self.pending_base = None,
-                storage::Outcome::Open => {}
-                storage::Outcome::Forgotten => return Err(outcome_unknown()),
+                storage::Outcome::Superseded => self.pending_base = None,
+                storage::Outcome::Pending => {}
+                storage::Outcome::Unknown => return Err(outcome_unknown()),
             }
         }
         let (stored, snapshot) = self.load_base(stored).await?;
--- a/crates/daemon/src/intents/committer.rs
+++ b/crates/daemon/src/intents/committer.rs
@@ -9,8 +9,8 @@
 
 use crate::intents::{Settings, Stats, driver, job, parts};
 
-/// How long the ledger of a slot is kept without a record to write or look up.
-const LEDGER_IDLE_LIMIT: time::Duration = time::Duration::from_secs(90);
+/// How long the cache of a slot is kept without a record to write or look up.
+const CACHE_IDLE_LIMIT: time::Duration = time::Duration::from_secs(90);
 
 /// The task that writes and looks up the records of one bucket.
 pub(super) struct Committer {
@@ -21,8 +21,8 @@
     pub(super) queue: mpsc::Receiver<job::Job>,
     /// The instant that corresponds to timestamp zero in this bucket.
     pub(super) origin: time::Instant,
-    /// The ledger of each slot, and when it was last used.
-    pub(super) ledgers: collections::HashMap<intents::Slot, (intents::Ledger, time::Instant)>,
+    /// The cache of each slot, and when it was last used.
+    pub(super) caches: collections::HashMap<intents::Slot, (intents::SlotCache, time::Instant)>,
 }
 
 impl Committer {
@@ -46,7 +46,7 @@
     /// Waits until the next commit may start, and returns all jobs that are queued by then.
     async fn collect_batch(&mut self, first: job::Job, last: Option<Timestamp>) -> Vec<job::Job> {
         let arrived = self.timestamp(first.arrived());
-        let start = intents::commit_at(arrived, last, self.settings.window());
+        let start = intents::next_commit(arrived, last, self.settings.window());
         let delay = start.since(self.timestamp(time::Instant::now()));
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
@@ -69,29 +69,29 @@
         let commits: Vec<_> = slots
             .into_iter()
             .map(|(slot, jobs)| {
-                let ledger = self.ledgers.remove(&slot).map(|(ledger, _)| ledger);
-                self.commit_slot(slot, ledger.unwrap_or_default(), jobs, deadline)
+                let cache = self.caches.remove(&slot).map(|(cache, _)| cache);
+                self.commit_slot(slot, cache.unwrap_or_default(), jobs, deadline)
             })
             .collect();
         let ended = futures::future::join_all(commits).await;
         let now = time::Instant::now();
-        self.ledgers.retain(|_, (_, last_used)| now.duration_since(*last_used) < LEDGER_IDLE_LIMIT);
-        self.ledgers.extend(ended.into_iter().map(|(slot, ledger)| (slot, (ledger, now))));
+        self.caches.retain(|_, (_, last_used)| now.duration_since(*last_used) < CACHE_IDLE_LIMIT);
+        self.caches.extend(ended.into_iter().map(|(slot, cache)| (slot, (cache, now))));
     }
 
     fn commit_slot(
         &self,
         slot: intents::Slot,
-        ledger: intents::Ledger,
+        cache: intents::SlotCache,
         jobs: Vec<job::Job>,
         deadline: time::Instant,
-    ) -> impl Future<Output = (intents::Slot, intents::Ledger)> + use<> {
-        let (records, look_ups) = answer_known(jobs, &ledger);
+    ) -> impl Future<Output = (intents::Slot, intents::SlotCache)> + use<> {
+        let (records, look_ups) = answer_known(jobs, &cache);
         let rows = records.iter().map(|pending| pending.row.clone()).collect();
         let retention = self.layout.retention;
-        let mut commit = intents::Commit::new(ledger, retention, self.settings.part_bytes, rows);
+        let mut commit = intents::Commit::new(cache, retention, self.settings.part_bytes, rows);
         if !look_ups.is_empty() {
-            commit = commit.read_first();
+            commit = commit.with_fresh_read();
         }
         let part_store = self.part_store.clone();
         async move {
@@ -100,13 +100,13 @@
                 pending.answer(outcome);
             }
             for pending in look_ups {
-                let found = result.ledger.find(&pending.key).cloned();
+                let found = result.cache.find(&pending.key).cloned();
                 // Only a read proves that a record is absent. Dropping the sender reports a failed look-up.
-                if found.is_some() || result.has_read {
+                if found.is_some() || result.is_read_done {
                     pending.answer(found);
                 }
             }
-            (slot, result.ledger)
+            (slot, result.cache)
         }
     }
 
@@ -115,16 +115,16 @@
     }
 }
 
-/// Answers the look-ups whose record is in the ledger; returns the records and the other look-ups.
+/// Answers the look-ups whose record is in the cache; returns the records and the other look-ups.
 fn answer_known(
     jobs: Vec<job::Job>,
-    ledger: &intents::Ledger,
+    cache: &intents::SlotCache,
 ) -> (Vec<job::PendingRecord>, Vec<job::PendingLookUp>) {
     let (mut records, mut look_ups) = (Vec::new(), Vec::new());
     for job in jobs {
         match job {
             job::Job::Record(pending) => records.push(pending),
-            job::Job::LookUp(pending) => match ledger.find(&pending.key).cloned() {
+            job::Job::LookUp(pending) => match cache.find(&pending.key).cloned() {
                 Some(found) => pending.answer(Some(found)),
                 None => look_ups.push(pending),
             },
--- a/crates/daemon/src/intents/driver.rs
+++ b/crates/daemon/src/intents/driver.rs
@@ -11,11 +11,11 @@
 
 /// The result of a commit.
 pub(super) struct CommitResult {
-    pub(super) ledger: intents::Ledger,
+    pub(super) cache: intents::SlotCache,
     /// The outcome of each row, in the order of the rows.
     pub(super) outcomes: Vec<intents::Outcome>,
-    /// Whether the ledger contains every record that existed when the commit started.
-    pub(super) has_read: bool,
+    /// Whether the cache contains every record that existed when the commit started.
+    pub(super) is_read_done: bool,
 }
 
 /// Executes the steps of a commit until it is done or `deadline` has passed.
@@ -33,9 +33,9 @@
         if step == intents::Step::Done {
             break;
         }
-        let event = part_store.execute(slot, step).await;
-        let refused = event == intents::Event::Refused;
-        commit.observe(event);
+        let result = part_store.execute(slot, step).await;
+        let refused = result == intents::StepResult::Refused;
+        commit.observe(result);
         if time::Instant::now() >= deadline {
             break;
         }
@@ -44,9 +44,9 @@
             backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
-    let has_read = commit.has_read();
-    let (ledger, outcomes) = commit.finish(unix_ms());
-    CommitResult { ledger, outcomes, has_read }
+    let is_read_done = commit.is_read_done();
+    let (cache, outcomes) = commit.finish(unix_ms());
+    CommitResult { cache, outcomes, is_read_done }
 }
 
 /// Returns the wall-clock time, in milliseconds since the Unix epoch.
--- a/crates/daemon/src/intents/forwarder.rs
+++ b/crates/daemon/src/intents/forwarder.rs
@@ -99,7 +99,7 @@
     match outcome {
         peer::CommitOutcome::Created => intents::Outcome::Created,
         peer::CommitOutcome::Exists(record) => intents::Outcome::Exists(record),
-        peer::CommitOutcome::Unsure => intents::Outcome::Unsure,
+        peer::CommitOutcome::Unsure => intents::Outcome::Unknown,
         peer::CommitOutcome::Unavailable => intents::Outcome::Unavailable,
         peer::CommitOutcome::Expired => intents::Outcome::Expired,
     }
@@ -110,7 +110,7 @@
     match outcome {
         intents::Outcome::Created => peer::CommitOutcome::Created,
         intents::Outcome::Exists(record) => peer::CommitOutcome::Exists(record),
-        intents::Outcome::Unsure => peer::CommitOutcome::Unsure,
+        intents::Outcome::Unknown => peer::CommitOutcome::Unsure,
         intents::Outcome::Unavailable => peer::CommitOutcome::Unavailable,
         intents::Outcome::Expired => peer::CommitOutcome::Expired,
     }
--- a/crates/daemon/src/intents/handle.rs
+++ b/crates/daemon/src/intents/handle.rs
@@ -66,7 +66,7 @@
             match outcome {
                 intents::Outcome::Created | intents::Outcome::Exists(_) => return outcome.into(),
                 intents::Outcome::Expired => break,
-                intents::Outcome::Unsure => unsure = true,
+                intents::Outcome::Unknown => unsure = true,
                 intents::Outcome::Unavailable => {}
             }
         }
@@ -150,7 +150,7 @@
         queues: &commit_queues::CommitQueues,
         key: &id::RequestKey,
     ) -> Vec<id::Incarnation> {
-        self.route.candidates(intents::Slot::owner_key(queues.layout.slot(key).bucket))
+        self.route.candidates(intents::Slot::owner_hash(queues.layout.slot(key).bucket))
     }
 
     /// Records a row through another member, because this daemon does not know the layout.
@@ -159,11 +159,11 @@
         for member in self.other_members(&row.key) {
             match self.commit_remotely(member, row.clone()).await {
                 intents::Outcome::Unavailable => {}
-                intents::Outcome::Unsure => unsure = true,
+                intents::Outcome::Unknown => unsure = true,
                 outcome => return outcome,
             }
         }
-        if unsure { intents::Outcome::Unsure } else { intents::Outcome::Unavailable }
+        if unsure { intents::Outcome::Unknown } else { intents::Outcome::Unavailable }
     }
 
     async fn commit_remotely(
@@ -175,7 +175,7 @@
         if self.forward.try_send((member, pending)).is_err() {
             return intents::Outcome::Unavailable;
         }
-        let outcome = outcome.await.unwrap_or(intents::Outcome::Unsure);
+        let outcome = outcome.await.unwrap_or(intents::Outcome::Unknown);
         if matches!(outcome, intents::Outcome::Created | intents::Outcome::Exists(_)) {
             self.availability.record_peer_success();
         }
@@ -208,7 +208,7 @@
         return intents::Outcome::Unavailable;
     }
     // A committer that ended without an answer may have written the record.
-    outcome.await.unwrap_or(intents::Outcome::Unsure)
+    outcome.await.unwrap_or(intents::Outcome::Unknown)
 }
 
 async fn look_up_locally(
--- a/crates/daemon/src/intents/parts.rs
+++ b/crates/daemon/src/intents/parts.rs
@@ -26,16 +26,16 @@
         &self,
         slot: &intents::Slot,
         step: intents::Step,
-    ) -> intents::Event {
+    ) -> intents::StepResult {
         match step {
             intents::Step::Read { first } => match self.read(slot, first).await {
-                Ok(found) => intents::Event::Found(found),
-                Err(_) => intents::Event::Refused,
+                Ok(found) => intents::StepResult::Found(found),
+                Err(_) => intents::StepResult::Refused,
             },
-            intents::Step::Write { index, expect, part } => {
-                self.write(slot, index, expect, &part).await
+            intents::Step::Write { index, expected_revision, part } => {
+                self.write(slot, index, expected_revision, &part).await
             }
-            intents::Step::Done => intents::Event::Refused,
+            intents::Step::Done => intents::StepResult::Refused,
         }
     }
 
@@ -59,37 +59,37 @@
         &self,
         slot: &intents::Slot,
         index: u32,
-        expect: u64,
+        expected_revision: u64,
         part: &intents::Part,
-    ) -> intents::Event {
+    ) -> intents::StepResult {
         let Ok(value) = serde_json::to_string(part) else {
-            return intents::Event::Refused;
+            return intents::StepResult::Refused;
         };
         self.stats.count_write(value.len());
         let key = slot.part_key(index);
-        let put = message::Put { key, value, expect: Some(expect), lease: None };
+        let put = message::Put { key, value, expect: Some(expected_revision), lease: None };
         match self.kv.put(&put).await {
-            Ok(written) => intents::Event::Written { revision: written.revision },
+            Ok(written) => intents::StepResult::Written { revision: written.revision },
             Err(platform::WriteError::Conflict(current)) => self.conflict(current.as_deref()),
             Err(platform::WriteError::Unsure(_)) => {
                 self.stats.count_lost();
-                intents::Event::Lost
+                intents::StepResult::Unanswered
             }
             Err(error) => {
                 self.stats.count_refused();
                 log::debug!("failed to write records: {error}");
-                intents::Event::Refused
+                intents::StepResult::Refused
             }
         }
     }
 
-    fn conflict(&self, current: Option<&message::Entry>) -> intents::Event {
+    fn conflict(&self, current: Option<&message::Entry>) -> intents::StepResult {
         self.stats.count_conflict();
         match current.map(parse).transpose() {
-            Ok(existing) => intents::Event::Conflict(existing),
+            Ok(existing) => intents::StepResult::Conflict(existing),
             Err(error) => {
                 log::error!("{error}");
-                intents::Event::Refused
+                intents::StepResult::Refused
             }
         }
     }
--- a/crates/daemon/src/intents/route.rs
+++ b/crates/daemon/src/intents/route.rs
@@ -61,8 +61,8 @@
 
     /// Returns the members that can write a record of a bucket, in the order of attempts: the owner, this
     /// daemon, another member.
-    pub(super) fn candidates(&self, owner_key: u64) -> Vec<id::Incarnation> {
-        let owners = (self.owners)(owner_key, 3);
+    pub(super) fn candidates(&self, owner_hash: u64) -> Vec<id::Incarnation> {
+        let owners = (self.owners)(owner_hash, 3);
         let mut candidates: Vec<_> = owners.first().copied().into_iter().collect();
         if !candidates.contains(&self.own) {
             candidates.push(self.own);
--- a/crates/daemon/src/intents/service.rs
+++ b/crates/daemon/src/intents/service.rs
@@ -122,7 +122,7 @@
             stats: self.stats.clone(),
             queue,
             origin: time::Instant::now(),
-            ledgers: collections::HashMap::new(),
+            caches: collections::HashMap::new(),
         };
         (sender, committer)
     }
--- a/crates/daemon/src/intents/sweep.rs
+++ b/crates/daemon/src/intents/sweep.rs
@@ -33,7 +33,7 @@
     pub(super) async fn run(self) {
         let pause = time::Duration::from_millis((self.layout.slice_ms / 2).max(1));
         loop {
-            if self.route.owns(intents::Slot::owner_key(SWEEP_BUCKET))
+            if self.route.owns(intents::Slot::owner_hash(SWEEP_BUCKET))
                 && let Err(error) = self.sweep().await
             {
                 log::debug!("failed to delete expired records: {error}");
@@ -66,6 +66,6 @@
         let Some((slot, _)) = intents::Slot::parse(key) else {
             return false;
         };
-        self.layout.is_over(slot.slice, driver::unix_ms())
+        self.layout.is_expired(slot.slice, driver::unix_ms())
     }
 }
--- a/crates/daemon/src/orders/lease.rs
+++ b/crates/daemon/src/orders/lease.rs
@@ -22,7 +22,7 @@
 pub(super) struct AcquiredLease {
     pub(super) lease: message::LeaseNumber,
     pub(super) token: u64,
-    pub(super) begun: Timestamp,
+    pub(super) call_start: Timestamp,
     /// The configuration version that was confirmed.
     pub(super) version: u64,
     /// Every order recorded as ended, with the revision of its record.
@@ -40,7 +40,7 @@
     version: u64,
     ttl: time::Duration,
 ) -> Option<AcquiredLease> {
-    let begun = clock.now();
+    let call_start = clock.now();
     let lease = kv.grant(ttl).await.ok()?;
     let acquired = acquire_key(kv, lease, incarnation, version).await;
     if acquired.is_none() {
@@ -48,7 +48,7 @@
         let _ = kv.revoke(lease).await;
     }
     let (token, ended) = acquired?;
-    Some(AcquiredLease { lease, token, begun, version, ended })
+    Some(AcquiredLease { lease, token, call_start, version, ended })
 }
 
 /// Writes the lease key, confirms the version, and reads the records of ended orders.
@@ -137,9 +137,9 @@
     clock: &LeaseClock,
     lease: message::LeaseNumber,
 ) -> orders::Input {
-    let begun = clock.now();
+    let call_start = clock.now();
     match kv.renew(lease).await {
-        Ok(()) => orders::Input::Renewed { begun },
+        Ok(()) => orders::Input::Renewed { call_start },
         Err(platform::WriteError::LeaseGone) => orders::Input::LeaseGone,
         Err(_) => orders::Input::NotRenewed,
     }
--- a/crates/daemon/src/orders/send.rs
+++ b/crates/daemon/src/orders/send.rs
@@ -8,13 +8,14 @@
 
 use crate::orders::LeaseClock;
 
-/// Sends an order once, unless the time has reached `stop` when the connection is ready to write.
+/// Sends an order once, unless the time has reached `send_deadline` when the connection is ready to
+/// write.
 pub(super) async fn send(
     clock: LeaseClock,
     address: Option<net::SocketAddr>,
     order: orders::Order,
     fence: u64,
-    stop: Timestamp,
+    send_deadline: Timestamp,
     wait: time::Duration,
 ) -> orders::Input {
     let key = order.key.clone();
@@ -24,7 +25,7 @@
     };
     let client = endpoint::EngineClient::new(address, endpoint::Limits::default());
     let message = message::Order { order: key.to_string(), fence, action: order.action };
-    let sent = client.order(&message, wait, || clock.now() < stop).await;
+    let sent = client.order(&message, wait, || clock.now() < send_deadline).await;
     orders::Input::Sent { key, result: send_result(sent) }
 }
 
--- a/crates/daemon/src/orders/service.rs
+++ b/crates/daemon/src/orders/service.rs
@@ -95,9 +95,9 @@
                 log::info!("acquired the orders lease with fencing token {}", acquired.token);
                 self.lease = Some(acquired.lease);
                 self.delete_obsolete(&acquired);
-                let lease::AcquiredLease { token, begun, version, ended, .. } = acquired;
+                let lease::AcquiredLease { token, call_start, version, ended, .. } = acquired;
                 let ended = ended.into_keys().collect();
-                self.step(decisions::Input::Acquired { token, begun, version, ended });
+                self.step(decisions::Input::Acquired { token, call_start, version, ended });
             }
         }
     }
@@ -137,11 +137,11 @@
                     decisions::Input::Tick
                 });
             }
-            decisions::Action::Send { order, fence, stop } => {
+            decisions::Action::Send { order, fence, send_deadline } => {
                 log::info!("sending order {} to {}", order.key, order.endpoint);
                 let address = self.address(&order.endpoint);
                 let wait = self.settings.order_time();
-                self.push(send::send(clock, address, order, fence, stop, wait));
+                self.push(send::send(clock, address, order, fence, send_deadline, wait));
             }
             decisions::Action::Store { key, outcome, fence } => {
                 log::info!("order {key} ended: {outcome:?}");
--- a/crates/daemon/src/orders/settings.rs
+++ b/crates/daemon/src/orders/settings.rs
@@ -45,9 +45,9 @@
         let millis = time::Duration::from_millis;
         orders::Params {
             ttl: millis(self.ttl_ms),
-            guard: millis(self.guard_ms),
-            settle: millis(self.settle_ms),
-            margin: millis(self.margin_ms),
+            clock_margin: millis(self.guard_ms),
+            settle_time: millis(self.settle_ms),
+            takeover_delay: millis(self.margin_ms),
             retry: millis(self.retry_ms),
             ..Default::default()
         }
--- a/crates/daemon/tests/testsuite/endpoints.rs
+++ b/crates/daemon/tests/testsuite/endpoints.rs
@@ -73,7 +73,7 @@
         let platform = platform::serve(settings).await.unwrap();
         let client = HostsClient::new(platform.address(), Duration::from_secs(1));
         let (hosts, poller) = hosts::new(hosts::Settings { interval_ms: 50 }, client);
-        let snapshot = sync::Arc::new(config::Snapshot::of(1, resources));
+        let snapshot = sync::Arc::new(config::Snapshot::from_resources(1, resources));
         let (config, configs) = watch::channel(snapshot);
         let (sender, feed) = mpsc::channel(64);
         let settings = endpoints::Settings {
@@ -216,7 +216,7 @@
     let running = engine::serve(engine::Settings::default()).await.unwrap();
     let mut fixture = Fixture::start(vec![pool(), endpoint("e1", running.address())]).await;
     fixture.wait_up("e1").await;
-    fixture.config.send_replace(sync::Arc::new(config::Snapshot::of(2, vec![pool()])));
+    fixture.config.send_replace(sync::Arc::new(config::Snapshot::from_resources(2, vec![pool()])));
     fixture.wait_leaving("e1").await;
     fixture.stop().await;
     running.stop().await;
--- a/crates/daemon/tests/testsuite/orders.rs
+++ b/crates/daemon/tests/testsuite/orders.rs
@@ -131,7 +131,8 @@
     }
 
     fn configure(&self, version: u64, resources: Vec<resource::Resource>) {
-        self.config.send_replace(sync::Arc::new(config::Snapshot::of(version, resources)));
+        self.config
+            .send_replace(sync::Arc::new(config::Snapshot::from_resources(version, resources)));
     }
 
     async fn ended(&self, generation: u64) -> orders::Ended {
--- a/crates/decide/src/config/state/snapshot.rs
+++ b/crates/decide/src/config/state/snapshot.rs
@@ -31,7 +31,7 @@
     }
 
     /// Creates a snapshot of valid resources in any order at `version`.
-    pub fn of(version: u64, resources: Vec<resource::Resource>) -> Self {
+    pub fn from_resources(version: u64, resources: Vec<resource::Resource>) -> Self {
         let keyed = resources.into_iter().map(|resource| (resource.key(), resource.into()));
         Self::new(version, keyed.collect())
     }
--- a/crates/decide/src/config/storage/chunk.rs
+++ b/crates/decide/src/config/storage/chunk.rs
@@ -64,7 +64,7 @@
 ///
 /// Chunks of the previous compaction are kept because readers of the previous root may still load them.
 /// Chunks of later versions are kept because a writer may be compacting such a version.
-pub fn obsolete(key: &str, previous_fold: u64) -> bool {
+pub fn is_obsolete_chunk(key: &str, previous_fold: u64) -> bool {
     key.strip_prefix(storage::CHUNK_PREFIX)
         .and_then(|rest| rest.split('-').next())
         .and_then(|version| version.parse::<u64>().ok())
--- a/crates/decide/src/config/storage/mod.rs
+++ b/crates/decide/src/config/storage/mod.rs
@@ -13,7 +13,7 @@
 mod root;
 
 pub use change::Change;
-pub use chunk::{Chunk, obsolete};
+pub use chunk::{Chunk, is_obsolete_chunk};
 pub use history::{Answer, History};
 pub use plan::{Plan, plan, restore};
 pub use root::{Outcome, Root};
--- a/crates/decide/src/config/storage/root.rs
+++ b/crates/decide/src/config/storage/root.rs
@@ -28,11 +28,11 @@
     /// The write took effect.
     Applied,
     /// Another write was applied instead, so this write can never take effect.
-    Lost,
+    Superseded,
     /// The root has not changed; the write may still take effect, so it must be sent again.
-    Open,
+    Pending,
     /// The outcome is unknown, because the root no longer holds the nonce of that version.
-    Forgotten,
+    Unknown,
 }
 
 impl Root {
@@ -66,27 +66,27 @@
     /// A write compares the root's revision, so only one write can follow each version.
     pub fn outcome(&self, base: u64, nonce: id::Nonce) -> Outcome {
         if self.version <= base {
-            return Outcome::Open;
+            return Outcome::Pending;
         }
         let distance = usize::try_from(self.version - base).unwrap_or(usize::MAX);
         match self.nonces.len().checked_sub(distance).map(|index| self.nonces[index]) {
             Some(stored) if stored == nonce => Outcome::Applied,
-            Some(_) => Outcome::Lost,
-            None => Outcome::Forgotten,
+            Some(_) => Outcome::Superseded,
+            None => Outcome::Unknown,
         }
     }
 
     /// Returns whether the changes in the tail are sufficient to go from `version` to the root's version.
-    pub const fn reaches_back(&self, version: u64) -> bool {
+    pub const fn covers(&self, version: u64) -> bool {
         self.folded <= version && version <= self.version
     }
 
-    /// Returns the root's snapshot, based on an earlier snapshot for which [`Self::reaches_back`] holds.
+    /// Returns the root's snapshot, based on an earlier snapshot for which [`Self::covers`] holds.
     ///
     /// # Errors
     ///
     /// Fails with `Protocol` if the tail does not apply to the snapshot.
-    pub fn catch_up(&self, snapshot: &Snapshot) -> Result<Snapshot, error::Error> {
+    pub fn apply_tail(&self, snapshot: &Snapshot) -> Result<Snapshot, error::Error> {
         let missing = self.tail.iter().filter(|change| change.version > snapshot.version());
         replay(snapshot, missing)
     }
@@ -101,7 +101,7 @@
         for value in values {
             resources.extend(storage::Chunk::resources(value)?);
         }
-        self.catch_up(&Snapshot::of(self.folded, resources))
+        self.apply_tail(&Snapshot::from_resources(self.folded, resources))
     }
 }
 
--- a/crates/decide/src/intents/commit.rs
+++ b/crates/decide/src/intents/commit.rs
@@ -1,6 +1,6 @@
 //! The commit of a batch of rows to one slot.
 
-use crate::intents::{Event, Ledger, Outcome, Part, Retention, Row, Step};
+use crate::intents::{Outcome, Part, Retention, Row, SlotCache, Step, StepResult};
 
 /// A state machine that writes a batch of rows to one slot and determines the outcome of each row.
 ///
@@ -9,14 +9,14 @@
 /// states only what is certain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Commit {
-    ledger: Ledger,
+    cache: SlotCache,
     retention: Retention,
     /// The size limit in bytes at which a part is sealed.
     limit: usize,
     rows: Vec<PendingRow>,
     /// The part that is being written, until the write is answered.
     written_part: Option<Part>,
-    /// Whether the last parts of the slot must be read, even if the ledger is up to date.
+    /// Whether the last parts of the slot must be read, even if the cache is up to date.
     must_read: bool,
 }
 
@@ -25,33 +25,33 @@
 struct PendingRow {
     row: Row,
     /// Whether a write that contains the row was not answered.
-    unsure: bool,
+    unanswered: bool,
     outcome: Option<Outcome>,
 }
 
 impl Commit {
-    /// Creates the commit of rows that all belong to the slot of `ledger`.
+    /// Creates the commit of rows that all belong to the slot of `cache`.
     ///
     /// `limit` is the size limit of a part in bytes.
-    pub fn new(ledger: Ledger, retention: Retention, limit: usize, rows: Vec<Row>) -> Self {
-        let pending = |row| PendingRow { row, unsure: false, outcome: None };
+    pub fn new(cache: SlotCache, retention: Retention, limit: usize, rows: Vec<Row>) -> Self {
+        let pending = |row| PendingRow { row, unanswered: false, outcome: None };
         let rows = rows.into_iter().map(pending).collect();
-        Self { ledger, retention, limit, rows, written_part: None, must_read: false }
+        Self { cache, retention, limit, rows, written_part: None, must_read: false }
     }
 
     /// Returns the commit changed so that it first reads the last parts of the slot.
     ///
-    /// Once [`Self::has_read`] holds, the ledger contains every record that existed when the commit
+    /// Once [`Self::is_read_done`] holds, the cache contains every record that existed when the commit
     /// started.
     #[must_use]
-    pub fn read_first(mut self) -> Self {
-        self.ledger.mark_stale();
+    pub fn with_fresh_read(mut self) -> Self {
+        self.cache.mark_stale();
         self.must_read = true;
         self
     }
 
-    /// Returns whether the read required by [`Self::read_first`] is complete.
-    pub const fn has_read(&self) -> bool {
+    /// Returns whether the read required by [`Self::with_fresh_read`] is complete.
+    pub const fn is_read_done(&self) -> bool {
         !self.must_read
     }
 
@@ -61,50 +61,50 @@
         if !self.must_read && self.rows.iter().all(|pending| pending.outcome.is_some()) {
             return Step::Done;
         }
-        let index = self.ledger.index();
-        let Some((last_part, expect)) = self.ledger.last() else {
+        let index = self.cache.index();
+        let Some((last_part, expected_revision)) = self.cache.last() else {
             return Step::Read { first: index };
         };
-        let (part, _) = last_part.with(&self.unresolved_rows(), self.limit);
+        let (part, _) = last_part.append(&self.unresolved_rows(), self.limit);
         self.written_part = Some(part.clone());
-        Step::Write { index, expect, part }
+        Step::Write { index, expected_revision, part }
     }
 
     /// Handles the result of the last step.
-    pub fn observe(&mut self, event: Event) {
+    pub fn observe(&mut self, result: StepResult) {
         let written_part = self.written_part.take();
-        match event {
-            Event::Found(parts) => {
-                self.ledger.apply_read(parts);
-                self.must_read &= self.ledger.last().is_none() && !self.ledger.is_deleted();
+        match result {
+            StepResult::Found(parts) => {
+                self.cache.apply_read(parts);
+                self.must_read &= self.cache.last().is_none() && !self.cache.is_deleted();
             }
-            Event::Written { revision } => {
+            StepResult::Written { revision } => {
                 if let Some(part) = written_part {
-                    self.ledger.apply_write(part, revision);
+                    self.cache.apply_write(part, revision);
                 }
             }
-            Event::Conflict(existing) => self.ledger.apply_conflict(existing),
-            Event::Lost => {
-                self.mark_unsure(written_part.as_ref());
-                self.ledger.mark_stale();
+            StepResult::Conflict(existing) => self.cache.apply_conflict(existing),
+            StepResult::Unanswered => {
+                self.mark_unanswered(written_part.as_ref());
+                self.cache.mark_stale();
             }
-            Event::Refused => {}
+            StepResult::Refused => {}
         }
     }
 
-    /// Ends the commit and returns the ledger and the outcomes in the order of the rows.
+    /// Ends the commit and returns the cache and the outcomes in the order of the rows.
     ///
     /// `now_ms` is the wall-clock time in milliseconds since the Unix epoch.
-    pub fn finish(mut self, now_ms: u64) -> (Ledger, Vec<Outcome>) {
+    pub fn finish(mut self, now_ms: u64) -> (SlotCache, Vec<Outcome>) {
         self.resolve(now_ms);
         let outcomes = self.rows.into_iter().map(PendingRow::finish).collect();
-        (self.ledger, outcomes)
+        (self.cache, outcomes)
     }
 
     /// Sets the outcome of each row whose record is known or that can no longer be recorded.
     fn resolve(&mut self, now_ms: u64) {
         for pending in self.rows.iter_mut().filter(|pending| pending.outcome.is_none()) {
-            pending.resolve(&self.ledger, &self.retention, now_ms);
+            pending.resolve(&self.cache, &self.retention, now_ms);
         }
     }
 
@@ -115,33 +115,33 @@
         unresolved_rows.map(|pending| &pending.row).filter(|row| keys.insert(&row.key)).collect()
     }
 
-    /// Marks the rows of an unanswered write as unsure.
-    fn mark_unsure(&mut self, written_part: Option<&Part>) {
+    /// Marks the rows of an unanswered write.
+    fn mark_unanswered(&mut self, written_part: Option<&Part>) {
         let Some(part) = written_part else {
             return;
         };
         for pending in &mut self.rows {
-            pending.unsure |= part.rows.contains(&pending.row);
+            pending.unanswered |= part.rows.contains(&pending.row);
         }
     }
 }
 
 impl PendingRow {
-    fn resolve(&mut self, ledger: &Ledger, retention: &Retention, now_ms: u64) {
+    fn resolve(&mut self, cache: &SlotCache, retention: &Retention, now_ms: u64) {
         let id = &self.row.key.id;
-        self.outcome = match ledger.find(&self.row.key) {
+        self.outcome = match cache.find(&self.row.key) {
             Some(record) if *record != self.row.record => Some(Outcome::Exists(record.clone())),
             Some(_) if retention.proves_creation(id, now_ms) => Some(Outcome::Created),
-            Some(_) => Some(Outcome::Unsure),
-            None if ledger.is_deleted() || !retention.accepts(id, now_ms) => {
-                Some(if self.unsure { Outcome::Unsure } else { Outcome::Expired })
+            Some(_) => Some(Outcome::Unknown),
+            None if cache.is_deleted() || !retention.accepts(id, now_ms) => {
+                Some(if self.unanswered { Outcome::Unknown } else { Outcome::Expired })
             }
             None => None,
         };
     }
 
     fn finish(self) -> Outcome {
-        let unresolved = if self.unsure { Outcome::Unsure } else { Outcome::Unavailable };
+        let unresolved = if self.unanswered { Outcome::Unknown } else { Outcome::Unavailable };
         self.outcome.unwrap_or(unresolved)
     }
 }
--- a/crates/decide/src/intents/layout.rs
+++ b/crates/decide/src/intents/layout.rs
@@ -43,7 +43,7 @@
     ///
     /// The clock skew is added twice: once for the difference between the deleting host and the true
     /// time, and once for the difference between the true time and a writer that still trusts its record.
-    pub const fn is_over(&self, slice: u64, now_ms: u64) -> bool {
+    pub const fn is_expired(&self, slice: u64, now_ms: u64) -> bool {
         let end = self.slice_end(slice).saturating_add(self.retention.keep_ms);
         now_ms > end.saturating_add(self.retention.skew_ms.saturating_mul(2))
     }
--- a/crates/decide/src/intents/mod.rs
+++ b/crates/decide/src/intents/mod.rs
@@ -11,26 +11,26 @@
 
 mod commit;
 mod coverage;
-mod event;
 mod layout;
-mod ledger;
 mod outcome;
 mod pacing;
 mod part;
 mod retention;
 mod row;
 mod slot;
+mod slot_cache;
 mod step;
+mod step_result;
 
 pub use commit::Commit;
 pub use coverage::Coverage;
-pub use event::{Event, Stored};
 pub use layout::Layout;
-pub use ledger::Ledger;
 pub use outcome::Outcome;
-pub use pacing::commit_at;
+pub use pacing::next_commit;
 pub use part::Part;
 pub use retention::Retention;
 pub use row::Row;
 pub use slot::Slot;
+pub use slot_cache::SlotCache;
 pub use step::Step;
+pub use step_result::{StepResult, Stored};
--- a/crates/decide/src/intents/outcome.rs
+++ b/crates/decide/src/intents/outcome.rs
@@ -12,7 +12,7 @@
     /// Another record already existed.
     Exists(request::Record),
     /// It is unknown whether the record exists now or will exist later.
-    Unsure,
+    Unknown,
     /// The record was not written, and this commit's writes will never take effect.
     Unavailable,
     /// The identifier is too old or from the future, or its slot was deleted; nothing was written.
@@ -24,7 +24,7 @@
         match outcome {
             Outcome::Created => Self::Created,
             Outcome::Exists(record) => Self::Exists(record),
-            Outcome::Unsure => Self::Unsure,
+            Outcome::Unknown => Self::Unsure,
             Outcome::Unavailable | Outcome::Expired => Self::Unavailable,
         }
     }
--- a/crates/decide/src/intents/pacing.rs
+++ b/crates/decide/src/intents/pacing.rs
@@ -8,6 +8,10 @@
 ///
 /// Commits of a bucket start at least `window` apart, which limits the rate of writes. A row that
 /// arrives at least `window` after the start of the last commit does not wait.
-pub fn commit_at(arrived: Timestamp, last: Option<Timestamp>, window: time::Duration) -> Timestamp {
+pub fn next_commit(
+    arrived: Timestamp,
+    last: Option<Timestamp>,
+    window: time::Duration,
+) -> Timestamp {
     last.map_or(arrived, |last| arrived.max(last + window))
 }
--- a/crates/decide/src/intents/part.rs
+++ b/crates/decide/src/intents/part.rs
@@ -32,7 +32,7 @@
     ///
     /// A part without rows takes at least one row whatever its size. The part is sealed if a row did not
     /// fit or little space is left.
-    pub fn with(&self, rows: &[&intents::Row], limit: usize) -> (Self, usize) {
+    pub fn append(&self, rows: &[&intents::Row], limit: usize) -> (Self, usize) {
         let mut part = self.clone();
         let mut size = part.size();
         for row in rows {
--- a/crates/decide/src/intents/slot.rs
+++ b/crates/decide/src/intents/slot.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the hash that selects the bucket's preferred but not exclusive owner, the same in every slice.
-    pub fn owner_key(bucket: u32) -> u64 {
+    pub fn owner_hash(bucket: u32) -> u64 {
         xxh3::xxh3_64_with_seed(b"intents", u64::from(bucket))
     }
 }
--- a/crates/decide/src/intents/ledger.rs
+++ b/crates/decide/src/intents/slot_cache.rs
@@ -11,7 +11,7 @@
 /// The copy may lack rows that exist in the key-value service, but every row in it is correct, because
 /// rows are never changed or removed before the retention ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Ledger {
+pub struct SlotCache {
     records: collections::BTreeMap<id::RequestKey, request::Record>,
     /// The last part as of `revision`; never sealed.
     last_part: intents::Part,
@@ -25,7 +25,7 @@
     deleted: bool,
 }
 
-impl Ledger {
+impl SlotCache {
     /// Returns the record of a request, if it is known.
     pub fn find(&self, key: &id::RequestKey) -> Option<&request::Record> {
         self.records.get(key)
--- a/crates/decide/src/intents/step.rs
+++ b/crates/decide/src/intents/step.rs
@@ -15,7 +15,7 @@
         /// The part's index.
         index: u32,
         /// The expected revision of the key; 0 if the key must not exist.
-        expect: u64,
+        expected_revision: u64,
         /// The new value of the part.
         part: intents::Part,
     },
--- a/crates/decide/src/intents/event.rs
+++ b/crates/decide/src/intents/step_result.rs
@@ -15,7 +15,7 @@
 
 /// The result of a commit's last step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Event {
+pub enum StepResult {
     /// The read found these parts, in order and without gaps; empty if no part exists.
     Found(Vec<Stored>),
     /// The write took effect.
@@ -26,7 +26,7 @@
     /// The key was not at the expected revision; the value is the part that exists, if any.
     Conflict(Option<Stored>),
     /// The write was not answered: it may have taken effect, or may still do so.
-    Lost,
+    Unanswered,
     /// The read or write was refused or could not be sent, and nothing changed.
     Refused,
 }
--- a/crates/decide/src/orders/action.rs
+++ b/crates/decide/src/orders/action.rs
@@ -33,7 +33,7 @@
         fence: u64,
         /// The time from which on the order must not be written. Check the clock against it directly
         /// before writing.
-        stop: time::Timestamp,
+        send_deadline: time::Timestamp,
     },
     /// Record how an order ended.
     Store {
--- a/crates/decide/src/orders/controller.rs
+++ b/crates/decide/src/orders/controller.rs
@@ -97,13 +97,13 @@
                 self.has_work |= eligible && !self.is_eligible && !self.wanted.is_empty();
                 self.is_eligible = eligible;
             }
-            Input::Acquired { token, begun, version, ended } => {
+            Input::Acquired { token, call_start, version, ended } => {
                 self.confirmed = version;
                 self.confirmation = Call::Due(now);
-                self.start_holding(now, token, begun, ended);
+                self.start_holding(now, token, call_start, ended);
             }
             Input::NotAcquired => self.phase = Phase::Idle(now + self.params.retry),
-            Input::Renewed { begun } => self.lease_renewed(begun),
+            Input::Renewed { call_start } => self.lease_renewed(call_start),
             Input::NotRenewed => self.schedule_renewal(now + self.params.retry),
             Input::LeaseGone => self.lose_lease(now),
             Input::Sent { key, result } => self.order_sent(now, &key, result),
@@ -199,7 +199,7 @@
         else {
             return;
         };
-        let settled_at = now + self.params.settle;
+        let settled_at = now + self.params.settle_time;
         if result == orders::SendResult::Unknown {
             self.blocked.insert(open_order.order.endpoint.clone(), settled_at);
         }
@@ -294,9 +294,9 @@
             {
                 open_order.step = open_order::Step::Sending;
                 in_flight += 1;
-                let stop = held_lease.send_deadline(&self.params, checks);
+                let send_deadline = held_lease.send_deadline(&self.params, checks);
                 let order = open_order.order.clone();
-                actions.push(Action::Send { order, fence: held_lease.token, stop });
+                actions.push(Action::Send { order, fence: held_lease.token, send_deadline });
             }
         }
     }
--- a/crates/decide/src/orders/held_lease.rs
+++ b/crates/decide/src/orders/held_lease.rs
@@ -23,19 +23,20 @@
 impl HeldLease {
     /// Returns the time from which on the holder must no longer rely on the lease.
     pub fn expiry(&self, params: &orders::Params) -> Timestamp {
-        self.call_start + params.ttl.saturating_sub(params.guard)
+        self.call_start + params.ttl.saturating_sub(params.clock_margin)
     }
 
     /// Returns the time from which on an order must no longer be written.
     pub fn send_deadline(&self, params: &orders::Params, checks_fencing: bool) -> Timestamp {
-        let settle = if checks_fencing { time::Duration::ZERO } else { params.settle };
-        self.call_start + params.ttl.saturating_sub(params.guard + settle)
+        let settle_time = if checks_fencing { time::Duration::ZERO } else { params.settle_time };
+        self.call_start + params.ttl.saturating_sub(params.clock_margin + settle_time)
     }
 
     /// Returns the time from which on orders may be written.
     pub fn send_start(&self, params: &orders::Params, checks_fencing: bool) -> Timestamp {
-        let margin = if checks_fencing { time::Duration::ZERO } else { params.margin };
-        self.taken_at + margin
+        let takeover_delay =
+            if checks_fencing { time::Duration::ZERO } else { params.takeover_delay };
+        self.taken_at + takeover_delay
     }
 
     /// Returns whether an order may be written at time `now`.
--- a/crates/decide/src/orders/input.rs
+++ b/crates/decide/src/orders/input.rs
@@ -23,7 +23,7 @@
         /// The fencing token: the revision at which the lease was acquired.
         token: u64,
         /// When the latest call started that granted or renewed the lease.
-        begun: time::Timestamp,
+        call_start: time::Timestamp,
         /// The version from the action, which is now confirmed.
         version: u64,
         /// The orders that are recorded as ended, read after the lease was acquired.
@@ -35,7 +35,7 @@
     /// Answers [`orders::Action::Renew`]: the lease was renewed.
     Renewed {
         /// When the call started that renewed the lease.
-        begun: time::Timestamp,
+        call_start: time::Timestamp,
     },
     /// Answers [`orders::Action::Renew`]: the service did not answer, or its answer does not tell whether
     /// the lease still exists.
--- a/crates/decide/tests/testsuite/config/storage.rs
+++ b/crates/decide/tests/testsuite/config/storage.rs
@@ -48,8 +48,8 @@
     let read = root.rebuild(&[]).unwrap();
     assert_eq!((root.version, read.version(), read.resources().len()), (2, 2, 2));
     assert!(second.chunks.is_empty());
-    let caught_up = root.catch_up(&first.snapshot).unwrap();
-    assert_eq!(caught_up.resources(), second.snapshot.resources());
+    let applied = root.apply_tail(&first.snapshot).unwrap();
+    assert_eq!(applied.resources(), second.snapshot.resources());
 }
 
 #[test]
@@ -58,11 +58,11 @@
     let second = plan(&first.root, &first.snapshot, 1, 12);
     let outcome = |base, nonce| second.root.outcome(base, id::Nonce(nonce));
     assert_eq!(outcome(0, 11), storage::Outcome::Applied);
-    assert_eq!(outcome(0, 99), storage::Outcome::Lost);
+    assert_eq!(outcome(0, 99), storage::Outcome::Superseded);
     assert_eq!(outcome(1, 12), storage::Outcome::Applied);
-    assert_eq!(outcome(2, 13), storage::Outcome::Open);
+    assert_eq!(outcome(2, 13), storage::Outcome::Pending);
     let truncated = storage::Root { nonces: vec![id::Nonce(12)], ..second.root.clone() };
-    assert_eq!(truncated.outcome(0, id::Nonce(11)), storage::Outcome::Forgotten);
+    assert_eq!(truncated.outcome(0, id::Nonce(11)), storage::Outcome::Unknown);
 }
 
 #[test]
@@ -103,9 +103,9 @@
     );
     assert_eq!(root.rebuild(&previous).unwrap().resources(), snapshot.resources());
     let key = &root.chunks[0];
-    assert!(!storage::obsolete(key, root.previous_fold));
-    assert!(storage::obsolete(key, root.folded + 1));
-    assert!(!storage::obsolete("config/root", u64::MAX));
+    assert!(!storage::is_obsolete_chunk(key, root.previous_fold));
+    assert!(storage::is_obsolete_chunk(key, root.folded + 1));
+    assert!(!storage::is_obsolete_chunk("config/root", u64::MAX));
 }
 
 #[test]
@@ -157,7 +157,10 @@
         }
     }
     assert!(pages > 1);
-    assert_eq!(config::Snapshot::of(7, read).resources(), history.snapshot().resources());
+    assert_eq!(
+        config::Snapshot::from_resources(7, read).resources(),
+        history.snapshot().resources()
+    );
 }
 
 #[test]
@@ -188,7 +191,7 @@
                 wins.push(nonce);
                 prop_assert_eq!(store.1.outcome(root.version, nonce), storage::Outcome::Applied);
             } else {
-                prop_assert_eq!(store.1.outcome(root.version, nonce), storage::Outcome::Lost);
+                prop_assert_eq!(store.1.outcome(root.version, nonce), storage::Outcome::Superseded);
             }
             seen[writer] = store.clone();
         }
--- a/crates/decide/tests/testsuite/endpoints.rs
+++ b/crates/decide/tests/testsuite/endpoints.rs
@@ -82,7 +82,7 @@
 fn two_up() -> (endpoints::EndpointStates, Vec<resource::Resource>) {
     let resources = vec![pool(1), endpoint("e1", "h1"), endpoint("e2", "h2")];
     let mut states = endpoints::EndpointStates::new(POOL.into(), 0, endpoints::Params::default());
-    let snapshot = config::Snapshot::of(1, resources.clone());
+    let snapshot = config::Snapshot::from_resources(1, resources.clone());
     assert!(states.apply_config(at(0), &snapshot).is_empty());
     assert_eq!(texts(&states.set_hosts(at(0), at(0), hosts(&["h1", "h2"], &[]))), ["+e1", "+e2"]);
     (states, resources)
@@ -92,7 +92,7 @@
 fn no_endpoint_gets_work_before_the_list_was_read() {
     let resources = vec![pool(1), endpoint("e1", "h1"), endpoint("e2", "h2")];
     let mut states = endpoints::EndpointStates::new(POOL.into(), 0, endpoints::Params::default());
-    states.apply_config(at(0), &config::Snapshot::of(1, resources));
+    states.apply_config(at(0), &config::Snapshot::from_resources(1, resources));
     assert!(states.tick(at(1)).is_empty());
     assert_eq!(texts(&states.set_hosts(at(1), at(1), hosts(&["h1"], &["h2"]))), ["+e1"]);
 }
@@ -100,7 +100,7 @@
 #[test]
 fn without_a_list_work_continues_after_the_wait() {
     let mut states = endpoints::EndpointStates::new(POOL.into(), 0, endpoints::Params::default());
-    let snapshot = config::Snapshot::of(1, vec![pool(1), endpoint("e1", "h1")]);
+    let snapshot = config::Snapshot::from_resources(1, vec![pool(1), endpoint("e1", "h1")]);
     states.apply_config(at(0), &snapshot);
     assert_eq!(advance(&mut states, 0..1, &[]), [""; 0]);
     assert_eq!(advance(&mut states, 1..2, &[]), ["+e1"]);
@@ -118,7 +118,7 @@
 fn an_unlisted_host_is_gone_only_if_it_was_listed_before() {
     let (mut states, mut resources) = two_up();
     resources.push(endpoint("e3", "h3"));
-    let snapshot = config::Snapshot::of(2, resources);
+    let snapshot = config::Snapshot::from_resources(2, resources);
     assert_eq!(texts(&states.apply_config(at(1), &snapshot)), ["+e3"]);
     assert_eq!(texts(&states.set_hosts(at(1), at(1), hosts(&["h1"], &[]))), ["-e2"]);
 }
@@ -127,10 +127,10 @@
 fn a_planned_stop_ends_new_work_until_it_is_deleted() {
     let (mut states, mut resources) = two_up();
     resources.push(stop("e1"));
-    let stopped = config::Snapshot::of(2, resources.clone());
+    let stopped = config::Snapshot::from_resources(2, resources.clone());
     assert_eq!(texts(&states.apply_config(at(1), &stopped)), ["-e1"]);
     resources.pop();
-    let again = config::Snapshot::of(3, resources);
+    let again = config::Snapshot::from_resources(3, resources);
     assert_eq!(texts(&states.apply_config(at(1), &again)), ["+e1"]);
 }
 
@@ -138,7 +138,7 @@
 fn a_deleted_endpoint_is_kept_for_its_work_in_progress() {
     let (mut states, mut resources) = two_up();
     resources.pop();
-    let without = config::Snapshot::of(2, resources);
+    let without = config::Snapshot::from_resources(2, resources);
     assert_eq!(texts(&states.apply_config(at(1), &without)), ["-e2"]);
     assert_eq!(states.polled().count(), 2);
     assert_eq!(advance(&mut states, 1..60, &["e1"]), [""; 0]);
@@ -185,7 +185,7 @@
     let (mut states, mut resources) = two_up();
     let resource::Spec::Endpoint(spec) = &mut resources[1].spec else { panic!() };
     spec.slots = 4;
-    let changed = config::Snapshot::of(2, resources);
+    let changed = config::Snapshot::from_resources(2, resources);
     assert_eq!(texts(&states.apply_config(at(1), &changed)), ["+e1"]);
     let later = Duration::from_millis(100);
     assert!(states.tick(at(1) + later).is_empty());
--- a/crates/decide/tests/testsuite/intents/interleavings.rs
+++ b/crates/decide/tests/testsuite/intents/interleavings.rs
@@ -77,20 +77,22 @@
     let mut second = commit(2);
     for commit in [&mut first, &mut second] {
         assert_eq!(commit.next(fixture::NOW_MS), intents::Step::Read { first: 0 });
-        commit.observe(intents::Event::Found(vec![]));
+        commit.observe(intents::StepResult::Found(vec![]));
     }
-    let intents::Step::Write { part, expect: 0, index: 0 } = first.next(fixture::NOW_MS) else {
+    let intents::Step::Write { part, expected_revision: 0, index: 0 } = first.next(fixture::NOW_MS)
+    else {
         panic!("the first does not create the part");
     };
-    first.observe(intents::Event::Written { revision: 5 });
+    first.observe(intents::StepResult::Written { revision: 5 });
     second.next(fixture::NOW_MS);
     let stored = intents::Stored { index: 0, revision: 5, part };
-    second.observe(intents::Event::Conflict(Some(stored)));
-    let intents::Step::Write { part, expect: 5, .. } = second.next(fixture::NOW_MS) else {
+    second.observe(intents::StepResult::Conflict(Some(stored)));
+    let intents::Step::Write { part, expected_revision: 5, .. } = second.next(fixture::NOW_MS)
+    else {
         panic!("the second does not write again");
     };
     assert_eq!(part.rows.len(), 3, "the second write keeps the rows of the first");
-    second.observe(intents::Event::Written { revision: 6 });
+    second.observe(intents::StepResult::Written { revision: 6 });
     let (_, outcomes) = second.finish(fixture::NOW_MS);
     let first_record = fixture::row(0, 1).record;
     assert_eq!(outcomes, [intents::Outcome::Exists(first_record), intents::Outcome::Created]);
@@ -99,5 +101,5 @@
 /// Returns the commit of two requests: one that both daemons record, and one that only `daemon` records.
 fn commit(daemon: u64) -> intents::Commit {
     let rows = vec![fixture::row(0, daemon), fixture::row(daemon, daemon)];
-    intents::Commit::new(intents::Ledger::default(), fixture::RETENTION, 10_000, rows)
+    intents::Commit::new(intents::SlotCache::default(), fixture::RETENTION, 10_000, rows)
 }
--- a/crates/decide/tests/testsuite/intents/simulation.rs
+++ b/crates/decide/tests/testsuite/intents/simulation.rs
@@ -37,7 +37,7 @@
     Refused,
     /// The oldest delayed write is carried out.
     DelayedArrives,
-    /// The daemon ends its commit and starts again with the same ledger.
+    /// The daemon ends its commit and starts again with the same cache.
     GivesUp,
     /// The daemon crashes; a new incarnation of it records the same requests again.
     Restarts,
@@ -56,7 +56,7 @@
 
 struct Write {
     index: u32,
-    expect: u64,
+    expected_revision: u64,
     part: intents::Part,
 }
 
@@ -94,18 +94,18 @@
             let shift = daemon as u64;
             let numbers: Vec<u64> =
                 (0..requests).map(|number| (number + shift) % requests).collect();
-            let daemon = simulation.start(&numbers, intents::Ledger::default());
+            let daemon = simulation.start(&numbers, intents::SlotCache::default());
             simulation.daemons.push(daemon);
         }
         simulation
     }
 
-    fn start(&mut self, numbers: &[u64], ledger: intents::Ledger) -> Daemon {
+    fn start(&mut self, numbers: &[u64], cache: intents::SlotCache) -> Daemon {
         self.incarnations += 1;
         let nonce = if self.variant == Variant::NoNonce { 1 } else { self.incarnations };
         let rows: Vec<_> = numbers.iter().map(|&number| fixture::row(number, nonce)).collect();
         let retention = fixture::RETENTION;
-        let commit = intents::Commit::new(ledger, retention, fixture::SMALL_PART, rows.clone());
+        let commit = intents::Commit::new(cache, retention, fixture::SMALL_PART, rows.clone());
         Daemon { incarnation: self.incarnations, commit, rows }
     }
 
@@ -128,20 +128,24 @@
         }
     }
 
-    fn carry_out(&mut self, step: intents::Step, transition: Transition) -> Option<intents::Event> {
+    fn carry_out(
+        &mut self,
+        step: intents::Step,
+        transition: Transition,
+    ) -> Option<intents::StepResult> {
         match (step, transition) {
             (intents::Step::Done, _) => None,
-            (_, Transition::Refused) => Some(intents::Event::Refused),
+            (_, Transition::Refused) => Some(intents::StepResult::Refused),
             (intents::Step::Read { first }, Transition::Answered) => Some(self.read(first)),
-            (intents::Step::Read { .. }, _) => Some(intents::Event::Refused),
-            (intents::Step::Write { index, expect, part }, _) => {
-                let write = Write { index, expect, part };
+            (intents::Step::Read { .. }, _) => Some(intents::StepResult::Refused),
+            (intents::Step::Write { index, expected_revision, part }, _) => {
+                let write = Write { index, expected_revision, part };
                 Some(self.write_with(write, transition))
             }
         }
     }
 
-    fn write_with(&mut self, write: Write, transition: Transition) -> intents::Event {
+    fn write_with(&mut self, write: Write, transition: Transition) -> intents::StepResult {
         match transition {
             Transition::Answered => return self.write(&write),
             Transition::AnswerLost => drop(self.write(&write)),
@@ -149,29 +153,29 @@
             _ => {}
         }
         match self.variant {
-            Variant::LossIsRefusal => intents::Event::Refused,
-            _ => intents::Event::Lost,
+            Variant::LossIsRefusal => intents::StepResult::Refused,
+            _ => intents::StepResult::Unanswered,
         }
     }
 
-    fn read(&self, first: u32) -> intents::Event {
+    fn read(&self, first: u32) -> intents::StepResult {
         // A read returns at most two parts, so that it may have to be continued.
         let found = self.parts.range(first..).take(2).map(|(&index, (revision, part))| {
             intents::Stored { index, revision: *revision, part: part.clone() }
         });
-        intents::Event::Found(found.collect())
+        intents::StepResult::Found(found.collect())
     }
 
-    fn write(&mut self, write: &Write) -> intents::Event {
+    fn write(&mut self, write: &Write) -> intents::StepResult {
         let current = self.parts.get(&write.index);
         let revision = current.map_or(0, |(revision, _)| *revision);
-        if revision != write.expect && self.variant != Variant::NoCompare {
+        if revision != write.expected_revision && self.variant != Variant::NoCompare {
             let stands = current.map(|(revision, part)| intents::Stored {
                 index: write.index,
                 revision: *revision,
                 part: part.clone(),
             });
-            return intents::Event::Conflict(stands);
+            return intents::StepResult::Conflict(stands);
         }
         self.revision += 1;
         let mut part = write.part.clone();
@@ -179,28 +183,28 @@
             part.sealed = false;
         }
         self.parts.insert(write.index, (self.revision, part));
-        intents::Event::Written { revision: self.revision }
+        intents::StepResult::Written { revision: self.revision }
     }
 
-    fn restart(&mut self, daemon: usize, keeps_ledger: bool) {
+    fn restart(&mut self, daemon: usize, keeps_cache: bool) {
         let rows = self.daemons[daemon].rows.iter();
         let numbers: Vec<u64> = rows.map(|row| fixture::number(&row.key)).collect();
-        let fresh = self.start(&numbers, intents::Ledger::default());
+        let fresh = self.start(&numbers, intents::SlotCache::default());
         let ended = std::mem::replace(&mut self.daemons[daemon], fresh);
-        if !keeps_ledger {
+        if !keeps_cache {
             return;
         }
-        let ledger = self.report(ended);
+        let cache = self.report(ended);
         let rows = self.daemons[daemon].rows.clone();
         let retention = fixture::RETENTION;
         self.daemons[daemon].commit =
-            intents::Commit::new(ledger, retention, fixture::SMALL_PART, rows);
+            intents::Commit::new(cache, retention, fixture::SMALL_PART, rows);
     }
 
-    fn report(&mut self, daemon: Daemon) -> intents::Ledger {
-        let (ledger, outcomes) = daemon.commit.finish(fixture::NOW_MS);
+    fn report(&mut self, daemon: Daemon) -> intents::SlotCache {
+        let (cache, outcomes) = daemon.commit.finish(fixture::NOW_MS);
         self.reported.extend(daemon.rows.into_iter().zip(outcomes));
-        ledger
+        cache
     }
 
     /// Ends all daemons and checks the stored rows and the reported outcomes.
@@ -241,7 +245,7 @@
                 intents::Outcome::Unavailable | intents::Outcome::Expired => {
                     stands != Some(&row.record)
                 }
-                intents::Outcome::Unsure => true,
+                intents::Outcome::Unknown => true,
             };
             if !right {
                 return Err(format!(
--- a/crates/decide/tests/testsuite/intents/values.rs
+++ b/crates/decide/tests/testsuite/intents/values.rs
@@ -83,7 +83,7 @@
 fn commits_of_a_bucket_start_a_window_apart_and_the_first_one_immediately() {
     let window = time::Duration::from_millis(20);
     let at = Timestamp::from_millis;
-    assert_eq!(intents::commit_at(at(100), None, window), at(100));
-    assert_eq!(intents::commit_at(at(100), Some(at(95)), window), at(115));
-    assert_eq!(intents::commit_at(at(200), Some(at(95)), window), at(200));
+    assert_eq!(intents::next_commit(at(100), None, window), at(100));
+    assert_eq!(intents::next_commit(at(100), Some(at(95)), window), at(115));
+    assert_eq!(intents::next_commit(at(200), Some(at(95)), window), at(200));
 }
--- a/crates/decide/tests/testsuite/orders/controller.rs
+++ b/crates/decide/tests/testsuite/orders/controller.rs
@@ -20,7 +20,7 @@
     assert_eq!(actions, [Action::Acquire { version }]);
     let ended = collections::BTreeSet::new();
     let actions =
-        controller.step(at(0), Input::Acquired { token: 7, begun: at(0), version, ended });
+        controller.step(at(0), Input::Acquired { token: 7, call_start: at(0), version, ended });
     (controller, actions)
 }
 
@@ -45,7 +45,7 @@
     let actions = controller.step(at(0), Input::Eligible(true));
     assert_eq!(actions, [Action::Acquire { version: 3 }]);
     let ended = collections::BTreeSet::from([order(1, true).key]);
-    let acquired = Input::Acquired { token: 7, begun: at(0), version: 3, ended };
+    let acquired = Input::Acquired { token: 7, call_start: at(0), version: 3, ended };
     assert_eq!(controller.step(at(0), acquired), [Action::Release]);
     assert!(!controller.is_busy());
 }
@@ -91,7 +91,7 @@
     let (mut controller, actions) = holder(vec![order(1, false)]);
     assert!(sent_versions(&actions).is_empty());
     assert!(sent_versions(&controller.step(at(4_999), Input::Tick)).is_empty());
-    let actions = controller.step(at(5_000), Input::Renewed { begun: at(5_000) });
+    let actions = controller.step(at(5_000), Input::Renewed { call_start: at(5_000) });
     assert_eq!(sent_versions(&actions), [1]);
 }
 
@@ -124,7 +124,7 @@
 fn a_late_renewal_counts_from_the_start_of_its_call() {
     let (mut controller, _) = holder(vec![order(1, true)]);
     controller.step(at(5_000), Input::Tick);
-    controller.step(at(12_000), Input::Renewed { begun: at(5_000) });
+    controller.step(at(12_000), Input::Renewed { call_start: at(5_000) });
     controller.step(at(17_999), Input::Tick);
     assert!(controller.held_lease().is_some());
     controller.step(at(18_000), Input::Tick);
--- a/crates/decide/tests/testsuite/orders/races.rs
+++ b/crates/decide/tests/testsuite/orders/races.rs
@@ -73,7 +73,7 @@
     simulation.latency = latency;
     // The connection is ready just before the time at which the holder stops sending.
     simulation.connect_time =
-        params.ttl - params.guard - params.settle - Duration::from_millis(400);
+        params.ttl - params.clock_margin - params.settle_time - Duration::from_millis(400);
     simulation.configure(0, vec![order(1, false)]);
     simulation.run_until(|simulation| simulation.is_writing(0));
     simulation.renewals_succeed = false;
@@ -89,21 +89,22 @@
 fn an_order_in_transit_at_the_end_of_the_lease_takes_effect_before_the_new_holders_order() {
     let usual = Variant::usual(false).params;
     let latency = Duration::from_secs(4);
-    // Without a margin, the holder's own stop must be sufficient.
-    let by_stop = orders::Params { margin: Duration::ZERO, ..usual };
+    // Without a takeover delay, the holder's own stop must be sufficient.
+    let by_stop = orders::Params { takeover_delay: Duration::ZERO, ..usual };
     assert!(!reorders_after_a_slow_order(by_stop, latency));
-    // With neither the margin nor the early stop, order 1 takes effect after order 2.
-    let neither = orders::Params { guard: Duration::ZERO, settle: Duration::ZERO, ..by_stop };
+    // With neither the takeover delay nor the early stop, order 1 takes effect after order 2.
+    let neither =
+        orders::Params { clock_margin: Duration::ZERO, settle_time: Duration::ZERO, ..by_stop };
     assert!(reorders_after_a_slow_order(neither, latency));
-    let by_margin = orders::Params { margin: usual.margin, ..neither };
-    assert!(!reorders_after_a_slow_order(by_margin, latency));
+    let by_delay = orders::Params { takeover_delay: usual.takeover_delay, ..neither };
+    assert!(!reorders_after_a_slow_order(by_delay, latency));
 }
 
 /// A pause between the last clock check and the write has the same effect as a longer transit time.
 #[test]
 fn a_pause_after_the_last_clock_check_is_harmless_up_to_the_sum_of_the_guards() {
     let usual = Variant::usual(false).params;
-    let sum = usual.guard + usual.settle + usual.margin;
+    let sum = usual.clock_margin + usual.settle_time + usual.takeover_delay;
     let second = Duration::from_secs(1);
     assert!(!reorders_after_a_slow_order(usual, sum - second));
     // A longer pause at this point can still reorder orders at an engine without fencing. `retry` is
--- a/crates/decide/tests/testsuite/orders/simulation.rs
+++ b/crates/decide/tests/testsuite/orders/simulation.rs
@@ -173,10 +173,10 @@
         let now = self.now;
         let writing = std::mem::take(&mut self.daemons[index].writing);
         for (ready, action) in writing {
-            let Action::Send { order, fence, stop } = &action else { continue };
+            let Action::Send { order, fence, send_deadline } = &action else { continue };
             if ready > now {
                 self.daemons[index].writing.push((ready, action));
-            } else if self.rechecks_clock && now >= *stop {
+            } else if self.rechecks_clock && now >= *send_deadline {
                 let result = orders::SendResult::NotSent;
                 let input = Input::Sent { key: order.key.clone(), result };
                 self.daemons[index].answers.push(input);
@@ -200,16 +200,16 @@
     }
 
     fn carry_out(&mut self, index: usize, action: Action) {
-        let begun = self.now;
+        let call_start = self.now;
         let answer = match action {
             Action::Acquire { version }
                 if self.lease.is_none() && (version >= self.confirmed || !self.checks_version) =>
             {
                 self.revision += 1;
-                self.lease = Some((index, self.revision, begun + TTL));
+                self.lease = Some((index, self.revision, call_start + TTL));
                 self.confirmed = self.confirmed.max(version);
                 let (token, ended) = (self.revision, self.ended.clone());
-                Input::Acquired { token, begun, version, ended }
+                Input::Acquired { token, call_start, version, ended }
             }
             Action::Acquire { .. } => Input::NotAcquired,
             Action::Confirm { version } => {
@@ -219,8 +219,8 @@
             Action::Renew if !self.renewals_succeed => Input::NotRenewed,
             Action::Renew => match &mut self.lease {
                 Some((holder, _, end)) if *holder == index => {
-                    *end = begun + TTL;
-                    Input::Renewed { begun }
+                    *end = call_start + TTL;
+                    Input::Renewed { call_start }
                 }
                 _ => Input::LeaseGone,
             },
--- a/crates/decide/tests/testsuite/stops.rs
+++ b/crates/decide/tests/testsuite/stops.rs
@@ -30,7 +30,7 @@
 
 fn settled_version(stop: resource::Resource, busy: &[&str], daemon_busy: bool) -> u64 {
     let resources = vec![endpoint("e1", "h1"), endpoint("e2", "h2"), stop];
-    let snapshot = config::Snapshot::of(9, resources);
+    let snapshot = config::Snapshot::from_resources(9, resources);
     let busy: collections::BTreeSet<id::EndpointName> = busy.iter().map(|e| (*e).into()).collect();
     let host = "h1".into();
     let daemon = stops::Daemon { host: &host, is_busy: daemon_busy };
--- a/crates/spec/src/commits/next.rs
+++ b/crates/spec/src/commits/next.rs
@@ -45,7 +45,7 @@
         if self.world.losses > 0 && matches!(owner.phase, Phase::Answered(_)) {
             self.add(Step::LoseAnswer(number), |world| {
                 world.losses -= 1;
-                world.owners[number].commit.observe(intents::Event::Lost);
+                world.owners[number].commit.observe(intents::StepResult::Unanswered);
                 world.owners[number].phase = Phase::Ready;
             });
         }
@@ -69,16 +69,17 @@
             world.owners[number].phase = Phase::Answered(event);
         });
         self.add(Step::Refuse(number), |world| {
-            world.owners[number].commit.observe(intents::Event::Refused);
+            world.owners[number].commit.observe(intents::StepResult::Refused);
             world.owners[number].phase = Phase::Ready;
         });
-        let intents::Step::Write { index, expect, part } = step else { return };
+        let intents::Step::Write { index, expected_revision, part } = step else { return };
         if self.world.losses > 0 {
-            let late = Late { index: *index, expect: *expect, part: part.clone() };
+            let late =
+                Late { index: *index, expected_revision: *expected_revision, part: part.clone() };
             self.add(Step::Lose(number), |world| {
                 world.losses -= 1;
                 world.late.push(late);
-                world.owners[number].commit.observe(intents::Event::Lost);
+                world.owners[number].commit.observe(intents::StepResult::Unanswered);
                 world.owners[number].phase = Phase::Ready;
             });
         }
@@ -89,7 +90,7 @@
         if !self.world.late.is_empty() {
             self.add(Step::Late, |world| {
                 let late = world.late.remove(0);
-                write(world, compare, late.index, late.expect, &late.part);
+                write(world, compare, late.index, late.expected_revision, &late.part);
             });
         }
         if self.bounds.ageing && self.world.age + 1 < AGES_MS.len() {
@@ -97,22 +98,22 @@
         }
         let retention = self.bounds.retention();
         let layout = intents::Layout { buckets: 1, slice_ms: 1, retention };
-        let over = layout.is_over(CREATED_MS, self.world.now_ms());
+        let over = layout.is_expired(CREATED_MS, self.world.now_ms());
         if over && !self.world.parts.is_empty() {
             self.add(Step::Delete, |world| world.parts.clear());
         }
     }
 }
 
-fn serve(world: &mut World, compare: bool, step: &intents::Step) -> intents::Event {
+fn serve(world: &mut World, compare: bool, step: &intents::Step) -> intents::StepResult {
     match step {
-        intents::Step::Read { first } => intents::Event::Found(
+        intents::Step::Read { first } => intents::StepResult::Found(
             world.parts.range(first..).map(|(_, part)| part.clone()).collect(),
         ),
-        intents::Step::Write { index, expect, part } => {
-            write(world, compare, *index, *expect, part)
+        intents::Step::Write { index, expected_revision, part } => {
+            write(world, compare, *index, *expected_revision, part)
         }
-        intents::Step::Done => intents::Event::Refused,
+        intents::Step::Done => intents::StepResult::Refused,
     }
 }
 
@@ -120,15 +121,15 @@
     world: &mut World,
     compare: bool,
     index: u32,
-    expect: u64,
+    expected_revision: u64,
     part: &intents::Part,
-) -> intents::Event {
+) -> intents::StepResult {
     let stands = world.parts.get(&index);
-    if compare && stands.map_or(0, |stored| stored.revision) != expect {
-        return intents::Event::Conflict(stands.cloned());
+    if compare && stands.map_or(0, |stored| stored.revision) != expected_revision {
+        return intents::StepResult::Conflict(stands.cloned());
     }
     world.revision += 1;
     let stored = intents::Stored { index, revision: world.revision, part: part.clone() };
     world.parts.insert(index, stored);
-    intents::Event::Written { revision: world.revision }
+    intents::StepResult::Written { revision: world.revision }
 }
--- a/crates/spec/src/commits/owner.rs
+++ b/crates/spec/src/commits/owner.rs
@@ -16,7 +16,7 @@
     /// A read or write is on its way to the service.
     Asked(intents::Step),
     /// What became of it is on its way back.
-    Answered(intents::Event),
+    Answered(intents::StepResult),
     /// The commit has ended.
     Ended,
 }
@@ -32,31 +32,31 @@
     pub rounds: u8,
     /// The records of the commit.
     pub rows: Vec<intents::Row>,
-    /// Whether an earlier commit left these records unsure.
-    pub unsure: bool,
+    /// Whether an earlier commit left the outcome of these records unknown.
+    pub unknown: bool,
 }
 
 impl Owner {
     pub(super) fn new(bounds: &Bounds, owner: usize) -> Self {
         let rows = rows(owner);
-        let commit = commit(bounds, intents::Ledger::default(), rows.clone());
+        let commit = commit(bounds, intents::SlotCache::default(), rows.clone());
         let rounds = bounds.rounds - 1;
-        Self { commit, phase: Phase::Ready, rounds, rows, unsure: false }
+        Self { commit, phase: Phase::Ready, rounds, rows, unknown: false }
     }
 
-    /// Ends the commit and returns the outcomes; commits again what is unsure, if it still may.
+    /// Ends the commit and returns the outcomes; commits again what is unknown, if it still may.
     pub(super) fn finish(&mut self, bounds: &Bounds, now_ms: u64) -> Vec<intents::Outcome> {
-        let (ledger, outcomes) = self.commit.clone().finish(now_ms);
-        let unsure = |(row, outcome): (&intents::Row, &intents::Outcome)| {
-            (*outcome == intents::Outcome::Unsure).then(|| row.clone())
+        let (cache, outcomes) = self.commit.clone().finish(now_ms);
+        let unknown = |(row, outcome): (&intents::Row, &intents::Outcome)| {
+            (*outcome == intents::Outcome::Unknown).then(|| row.clone())
         };
-        self.rows = self.rows.iter().zip(&outcomes).filter_map(unsure).collect();
-        self.unsure = true;
+        self.rows = self.rows.iter().zip(&outcomes).filter_map(unknown).collect();
+        self.unknown = true;
         self.phase = Phase::Ended;
         if self.rounds > 0 && !self.rows.is_empty() {
             self.rounds -= 1;
             self.phase = Phase::Ready;
-            self.commit = commit(bounds, ledger, self.rows.clone());
+            self.commit = commit(bounds, cache, self.rows.clone());
         }
         outcomes
     }
@@ -68,8 +68,8 @@
     if owner == 0 { vec![shared, row(1, 3)] } else { vec![shared] }
 }
 
-fn commit(bounds: &Bounds, ledger: intents::Ledger, rows: Vec<intents::Row>) -> intents::Commit {
-    intents::Commit::new(ledger, bounds.retention(), bounds.limit, rows)
+fn commit(bounds: &Bounds, cache: intents::SlotCache, rows: Vec<intents::Row>) -> intents::Commit {
+    intents::Commit::new(cache, bounds.retention(), bounds.limit, rows)
 }
 
 fn row(request: u8, nonce: u64) -> intents::Row {
--- a/crates/spec/src/commits/world.rs
+++ b/crates/spec/src/commits/world.rs
@@ -24,7 +24,7 @@
     /// The part's index.
     pub index: u32,
     /// The revision that it compares.
-    pub expect: u64,
+    pub expected_revision: u64,
     /// The part.
     pub part: intents::Part,
 }
@@ -90,13 +90,13 @@
     pub(super) fn finish(&mut self, bounds: &Bounds, number: usize) {
         let now_ms = self.clock_ms(number);
         let owner = &mut self.owners[number];
-        let (rows, unsure) = (owner.rows.clone(), owner.unsure);
+        let (rows, unknown) = (owner.rows.clone(), owner.unknown);
         for (row, outcome) in rows.into_iter().zip(owner.finish(bounds, now_ms)) {
             match outcome {
                 intents::Outcome::Created => {
                     self.created.insert((row.key, row.record.nonce()));
                 }
-                intents::Outcome::Unavailable | intents::Outcome::Expired if !unsure => {
+                intents::Outcome::Unavailable | intents::Outcome::Expired if !unknown => {
                     self.denied.insert(row.record.nonce());
                 }
                 _ => {}
--- a/crates/spec/src/configuration/attempt.rs
+++ b/crates/spec/src/configuration/attempt.rs
@@ -73,9 +73,9 @@
                     self.phase = Phase::Told(Verdict::Accepted(version));
                     return;
                 }
-                storage::Outcome::Lost => self.sent = None,
-                storage::Outcome::Open => {}
-                storage::Outcome::Forgotten => {
+                storage::Outcome::Superseded => self.sent = None,
+                storage::Outcome::Pending => {}
+                storage::Outcome::Unknown => {
                     self.phase = Phase::Told(Verdict::Unsure);
                     return;
                 }
--- a/crates/spec/src/orders/bounds.rs
+++ b/crates/spec/src/orders/bounds.rs
@@ -18,11 +18,11 @@
     /// How long a lease lasts without renewal.
     pub ttl: u64,
     /// How long before the lease's end its holder stops.
-    pub guard: u64,
+    pub clock_margin: u64,
     /// How long an order can still take effect, as the daemons reckon.
-    pub settle: u64,
+    pub settle_time: u64,
     /// How long a new holder waits before its first order.
-    pub margin: u64,
+    pub takeover_delay: u64,
 }
 
 /// How long an order really can still take effect after it was written.
@@ -37,18 +37,18 @@
             pause: 2,
             looks: true,
             ttl: 4,
-            guard: 1,
-            settle: SETTLE,
-            margin: 1,
+            clock_margin: 1,
+            settle_time: SETTLE,
+            takeover_delay: 1,
         }
     }
 
     pub(super) const fn params(&self) -> orders::Params {
         orders::Params {
             ttl: time::Duration::from_secs(self.ttl),
-            guard: time::Duration::from_secs(self.guard),
-            settle: time::Duration::from_secs(self.settle),
-            margin: time::Duration::from_secs(self.margin),
+            clock_margin: time::Duration::from_secs(self.clock_margin),
+            settle_time: time::Duration::from_secs(self.settle_time),
+            takeover_delay: time::Duration::from_secs(self.takeover_delay),
             retry: time::Duration::from_secs(1),
             per_engine: 1,
             in_flight: 1,
--- a/crates/spec/src/orders/daemon.rs
+++ b/crates/spec/src/orders/daemon.rs
@@ -27,7 +27,7 @@
     /// The fencing token.
     pub fence: u64,
     /// From when on it must not be written.
-    pub stop: time::Timestamp,
+    pub send_deadline: time::Timestamp,
     /// When the clock was looked at last before the write.
     pub looked: Option<u64>,
 }
@@ -59,9 +59,9 @@
             match action {
                 orders::Action::Acquire { .. } => self.call = Some(Call::Acquire(now)),
                 orders::Action::Renew => self.call = Some(Call::Renew(now)),
-                orders::Action::Send { order, fence, stop } => {
+                orders::Action::Send { order, fence, send_deadline } => {
                     let key = order.key;
-                    self.sending = Some(Sending { key, fence, stop, looked: None });
+                    self.sending = Some(Sending { key, fence, send_deadline, looked: None });
                 }
                 // There is one version, and taking the lease confirms it.
                 orders::Action::Confirm { .. }
--- a/crates/spec/src/orders/next.rs
+++ b/crates/spec/src/orders/next.rs
@@ -71,8 +71,8 @@
         });
         self.add(Step::Serve(number), |world| {
             let answer = match call {
-                Call::Renew(begun) => renew(world, number, ttl, *begun),
-                Call::Acquire(begun) => acquire(world, number, ttl, *begun),
+                Call::Renew(call_start) => renew(world, number, ttl, *call_start),
+                Call::Acquire(call_start) => acquire(world, number, ttl, *call_start),
                 Call::Answer(input) => input.clone(),
             };
             world.daemons[number].call = Some(Call::Answer(answer));
@@ -83,7 +83,7 @@
         let now = self.world.now;
         let key = sending.key.clone();
         let Some(looked) = sending.looked else {
-            if self.bounds.looks && timestamp(now) >= sending.stop {
+            if self.bounds.looks && timestamp(now) >= sending.send_deadline {
                 self.add(Step::Refrain(number), |world| {
                     end_sending(world, number, key, orders::SendResult::NotSent);
                 });
@@ -119,7 +119,7 @@
     }
 }
 
-fn acquire(world: &mut World, daemon: usize, ttl: u64, begun: u64) -> orders::Input {
+fn acquire(world: &mut World, daemon: usize, ttl: u64, call_start: u64) -> orders::Input {
     if world.lease.is_some_and(|lease| world.now < lease.end) {
         return orders::Input::NotAcquired;
     }
@@ -128,15 +128,15 @@
     world.lease = Some(Lease { daemon, token, end: world.now + ttl });
     let ended = collections::BTreeSet::new();
     let version = daemon::VERSION;
-    orders::Input::Acquired { token, begun: timestamp(begun), version, ended }
+    orders::Input::Acquired { token, call_start: timestamp(call_start), version, ended }
 }
 
-fn renew(world: &mut World, daemon: usize, ttl: u64, begun: u64) -> orders::Input {
+fn renew(world: &mut World, daemon: usize, ttl: u64, call_start: u64) -> orders::Input {
     let now = world.now;
     match &mut world.lease {
         Some(lease) if lease.daemon == daemon && now < lease.end => {
             lease.end = now + ttl;
-            orders::Input::Renewed { begun: timestamp(begun) }
+            orders::Input::Renewed { call_start: timestamp(call_start) }
         }
         _ => orders::Input::LeaseGone,
     }
--- a/crates/spec/src/stops/world.rs
+++ b/crates/spec/src/stops/world.rs
@@ -120,7 +120,7 @@
     if version >= STOP {
         resources.push(accepted("s", stop, STOP));
     }
-    config::Snapshot::of(version, resources)
+    config::Snapshot::from_resources(version, resources)
 }
 
 fn accepted(name: &str, spec: resource::Spec, resource_version: u64) -> resource::Resource {
--- a/crates/spec/tests/testsuite/orders.rs
+++ b/crates/spec/tests/testsuite/orders.rs
@@ -30,17 +30,17 @@
 
 #[test]
 fn without_the_margin() {
-    insta::assert_snapshot!(counterexample(&Bounds { margin: 0, ..Bounds::new() }));
+    insta::assert_snapshot!(counterexample(&Bounds { takeover_delay: 0, ..Bounds::new() }));
 }
 
 #[test]
 fn without_the_guard_time() {
-    insta::assert_snapshot!(counterexample(&Bounds { guard: 0, ..Bounds::new() }));
+    insta::assert_snapshot!(counterexample(&Bounds { clock_margin: 0, ..Bounds::new() }));
 }
 
 #[test]
 fn without_the_settle_time() {
-    insta::assert_snapshot!(counterexample(&Bounds { settle: 0, ..Bounds::new() }));
+    insta::assert_snapshot!(counterexample(&Bounds { settle_time: 0, ..Bounds::new() }));
 }
 
 #[test]
--- a/testbed/src/measure/config.rs
+++ b/testbed/src/measure/config.rs
@@ -86,7 +86,7 @@
         status: None,
     });
     let accounts = (0..accounts).map(account);
-    config::Snapshot::of(1, tiers.chain(accounts).collect())
+    config::Snapshot::from_resources(1, tiers.chain(accounts).collect())
 }
 
 fn account(number: usize) -> resource::Resource {
--- a/testbed/src/measure/endpoints.rs
+++ b/testbed/src/measure/endpoints.rs
@@ -85,7 +85,7 @@
 ) -> time::Duration {
     let client = platform::HostsClient::new(list, time::Duration::from_secs(1));
     let (hosts, poller) = hosts::new(hosts::Settings::default(), client);
-    let snapshot = sync::Arc::new(config::Snapshot::of(1, resources));
+    let snapshot = sync::Arc::new(config::Snapshot::from_resources(1, resources));
     let (_config, configs) = watch::channel(snapshot);
     let (feed, mut fed) = mpsc::channel(64);
     let shard = endpoints::Shard { pool: POOL.into(), number: 0 };
