--- a/crates/daemon/src/callers/face.rs
+++ b/crates/daemon/src/callers/api.rs
@@ -22,7 +22,7 @@
 type Reply = Result<hyper::Response<http::Body>, request::Refusal>;
 
 /// The HTTP API for callers.
-pub struct Face {
+pub struct Api {
     settings: settings::Callers,
     config: config::Handle,
     coordinator: Coordinator,
@@ -30,7 +30,7 @@
     streams: kernel::Scope,
 }
 
-impl Face {
+impl Api {
     /// Creates the API, which uses the configuration and the coordinator; `streams` runs the stream tasks.
     pub const fn new(
         settings: settings::Callers,
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -5,15 +5,15 @@
 //! is answered immediately, without a stream.
 
 mod answer;
+mod api;
 mod check;
 mod coordinator;
-mod face;
 mod reply;
 mod stream;
 mod submission;
 
 pub use answer::{Answer, AnswerEvent};
+pub use api::Api;
 pub use check::submission;
 pub use coordinator::{Coordinator, Reply};
-pub use face::Face;
 pub use submission::Submission;
--- a/crates/daemon/src/config/learner.rs
+++ b/crates/daemon/src/config/learner.rs
@@ -84,7 +84,7 @@
     source: id::Incarnation,
     request: peer::ChangesRequest,
 ) -> Result<storage::Answer, error::Error> {
-    let changes = (peers.pull)(source, request).await?;
+    let changes = (peers.request_changes)(source, request).await?;
     let text: String = changes.body.decode().map_err(|error| protocol_error(&error))?;
     serde_json::from_str(&text).map_err(|error| protocol_error(&error))
 }
--- a/crates/daemon/src/config/mod.rs
+++ b/crates/daemon/src/config/mod.rs
@@ -17,6 +17,6 @@
 mod writer;
 
 pub use handle::Handle;
-pub use peers::{Newest, Peers, Pull};
+pub use peers::{AnnouncedVersion, Peers, RequestChanges};
 pub use service::{Keeper, new};
 pub use settings::Settings;
--- a/crates/daemon/src/config/peers.rs
+++ b/crates/daemon/src/config/peers.rs
@@ -10,7 +10,7 @@
 
 /// The highest version that a peer has announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Newest {
+pub struct AnnouncedVersion {
     /// The version.
     pub version: u64,
     /// The peer that has the version.
@@ -20,7 +20,8 @@
 type Answer = future::BoxFuture<'static, Result<peer::Changes, error::Error>>;
 
 /// A call that requests changes from one peer.
-pub type Pull = sync::Arc<dyn Fn(id::Incarnation, peer::ChangesRequest) -> Answer + Send + Sync>;
+pub type RequestChanges =
+    sync::Arc<dyn Fn(id::Incarnation, peer::ChangesRequest) -> Answer + Send + Sync>;
 
 /// The configuration service's connection to the other daemons.
 #[derive(Clone)]
@@ -30,7 +31,7 @@
     /// The members in the view of this daemon.
     pub view: watch::Receiver<sync::Arc<members::View>>,
     /// The highest version that any peer has announced; `None` before the first announcement.
-    pub newest: watch::Receiver<Option<Newest>>,
+    pub newest: watch::Receiver<Option<AnnouncedVersion>>,
     /// Requests changes from one peer; sets its own deadline.
-    pub pull: Pull,
+    pub request_changes: RequestChanges,
 }
--- a/crates/daemon/src/coordinate/conditions.rs
+++ b/crates/daemon/src/coordinate/conditions.rs
@@ -13,7 +13,7 @@
     ) -> coordinate::Conditions {
         let retention = self.intents.layout().retention;
         coordinate::Conditions {
-            own: self.links.own,
+            own: self.peer_calls.own,
             unix_ms: self.clock.now().unix_ms,
             service: self.intents.service_state(),
             isolated: self.isolation.is_isolated(),
--- a/crates/daemon/src/coordinate/driver.rs
+++ b/crates/daemon/src/coordinate/driver.rs
@@ -201,7 +201,8 @@
     }
 
     fn ask(&mut self) {
-        let (Some(shard), Some(ask)) = (self.shard.clone(), self.job.ask(self.context.links.own))
+        let (Some(shard), Some(ask)) =
+            (self.shard.clone(), self.job.ask(self.context.peer_calls.own))
         else {
             // Without a submission, the caller only resumes an answer and needs no permit.
             self.operation = operations::none();
@@ -215,7 +216,7 @@
 
     fn return_permit(&self, permit: &request::Permit) {
         self.record_event("handed_back", || format!("permit for {}", permit.endpoint));
-        self.report(schedule::Note::HandBack { key: permit.key.clone() });
+        self.report(schedule::RequestEvent::HandBack { key: permit.key.clone() });
     }
 
     fn dispatch(&mut self, endpoint: &id::EndpointName) {
@@ -233,12 +234,12 @@
     }
 
     fn report_started(&mut self) {
-        let ask = self.job.ask(self.context.links.own);
+        let ask = self.job.ask(self.context.peer_calls.own);
         if let (Some(mut ask), Some(permit)) = (ask, self.permit.clone()) {
             let left = self.job.deadline.since(self.context.clock.monotonic());
             ask.left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
             self.is_running = true;
-            self.report(schedule::Note::Started { ask, permit });
+            self.report(schedule::RequestEvent::Started { ask, permit });
         }
     }
 
@@ -255,10 +256,10 @@
 
     /// Reports to the scheduler a request that another daemon has dispatched.
     fn report_takeover(&mut self, endpoint: &id::EndpointName) {
-        let ask = self.job.ask(self.context.links.own);
+        let ask = self.job.ask(self.context.peer_calls.own);
         if let (Some(ask), false) = (ask, self.is_running) {
             self.is_running = true;
-            self.report(schedule::Note::TakenOver { ask, endpoint: endpoint.clone() });
+            self.report(schedule::RequestEvent::TakenOver { ask, endpoint: endpoint.clone() });
         }
     }
 
@@ -284,7 +285,7 @@
         }
         if self.is_running {
             let key = self.job.entry.key.clone();
-            self.report(schedule::Note::Tokens { key, tokens: self.tokens() });
+            self.report(schedule::RequestEvent::Tokens { key, tokens: self.tokens() });
         }
     }
 
@@ -296,7 +297,7 @@
     fn report_finished(&mut self, outcome: decide::Outcome) {
         if std::mem::take(&mut self.is_running) {
             let key = self.job.entry.key.clone();
-            self.report(schedule::Note::Finished { key, tokens: self.tokens(), outcome });
+            self.report(schedule::RequestEvent::Finished { key, tokens: self.tokens(), outcome });
         }
     }
 
@@ -317,9 +318,9 @@
         self.context.table.complete(&entry);
     }
 
-    fn report(&self, note: schedule::Note) {
+    fn report(&self, event: schedule::RequestEvent) {
         if let Some(shard) = &self.shard {
-            self.context.schedule.report(shard, note);
+            self.context.schedule.report(shard, event);
         }
     }
 
--- a/crates/daemon/src/coordinate/handle.rs
+++ b/crates/daemon/src/coordinate/handle.rs
@@ -17,13 +17,13 @@
 const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// The dependencies of the coordinator.
-pub struct Sources {
+pub struct Dependencies {
     /// Limits and bounds.
     pub settings: settings::Coordinate,
     /// The clock that decisions use.
     pub clock: clock::Clock,
     /// The calls to other coordinators.
-    pub links: service::Links,
+    pub peer_calls: service::PeerCalls,
     /// The configuration.
     pub config: config::Handle,
     /// The platform's host list.
@@ -48,7 +48,7 @@
 pub(super) struct Context {
     pub(super) settings: settings::Coordinate,
     pub(super) clock: clock::Clock,
-    pub(super) links: service::Links,
+    pub(super) peer_calls: service::PeerCalls,
     pub(super) config: config::Handle,
     pub(super) hosts: hosts::Handle,
     pub(super) intents: intents::Handle,
@@ -71,29 +71,29 @@
 
 impl Handle {
     /// Creates the coordinator.
-    pub fn new(sources: Sources) -> Self {
+    pub fn new(dependencies: Dependencies) -> Self {
         let context = Context {
-            table: service::table::Table::new(sources.settings),
+            table: service::table::Table::new(dependencies.settings),
             clients: service::clients::Clients::default(),
             in_flight: service::in_flight::InFlight::default(),
-            settings: sources.settings,
-            clock: sources.clock,
-            links: sources.links,
-            config: sources.config,
-            hosts: sources.hosts,
-            intents: sources.intents,
-            schedule: sources.schedule,
-            isolation: sources.isolation,
-            gate: sources.gate,
-            scope: sources.scope,
-            timeline: sources.timeline,
-            metrics: sources.metrics,
+            settings: dependencies.settings,
+            clock: dependencies.clock,
+            peer_calls: dependencies.peer_calls,
+            config: dependencies.config,
+            hosts: dependencies.hosts,
+            intents: dependencies.intents,
+            schedule: dependencies.schedule,
+            isolation: dependencies.isolation,
+            gate: dependencies.gate,
+            scope: dependencies.scope,
+            timeline: dependencies.timeline,
+            metrics: dependencies.metrics,
         };
         Self { context: sync::Arc::new(context) }
     }
 
     /// Returns the calls that the HTTP API for callers makes to this coordinator.
-    pub fn ways_in(&self) -> callers::Coordinator {
+    pub fn caller_calls(&self) -> callers::Coordinator {
         let submit_handle = self.clone();
         let resume_handle = self.clone();
         callers::Coordinator {
--- a/crates/daemon/src/coordinate/isolation.rs
+++ b/crates/daemon/src/coordinate/isolation.rs
@@ -16,7 +16,8 @@
 pub struct Isolation(sync::Arc<watch::Sender<bool>>);
 
 impl Isolation {
-    /// Returns whether, for [`Watch::bound`], no peer was alive and the key-value service did not answer.
+    /// Returns whether, for [`IsolationMonitor::timeout`], no peer was alive and the key-value service
+    /// did not answer.
     pub fn is_isolated(&self) -> bool {
         *self.0.borrow()
     }
@@ -39,7 +40,7 @@
 }
 
 /// Detects whether this daemon is isolated. It must run on the control thread.
-pub struct Watch {
+pub struct IsolationMonitor {
     /// The state to update.
     pub isolation: Isolation,
     /// The incarnation of this daemon.
@@ -49,16 +50,16 @@
     /// The client of the key-value service.
     pub kv: platform::KvClient,
     /// After how long without a peer and without an answer of the key-value service this daemon is isolated.
-    pub bound: time::Duration,
+    pub timeout: time::Duration,
 }
 
-impl Watch {
+impl IsolationMonitor {
     /// Checks periodically whether this daemon is isolated. Never returns; drop the future to cancel it.
     ///
     /// The key-value service is read only while no peer is alive, so that a large group puts no load on it.
     pub async fn run(self) {
         let mut last_reached = tokio::time::Instant::now();
-        let period = self.bound / 4;
+        let period = self.timeout / 4;
         loop {
             let checked_at = tokio::time::Instant::now();
             let is_reached = self.has_peer()
@@ -68,7 +69,7 @@
             if is_reached {
                 last_reached = checked_at;
             }
-            let is_isolated = last_reached.elapsed() >= self.bound;
+            let is_isolated = last_reached.elapsed() >= self.timeout;
             if self.isolation.set(is_isolated) {
                 log::warn!(target: "coordinate", "daemon is isolated: {is_isolated}");
             }
--- a/crates/daemon/src/coordinate/mod.rs
+++ b/crates/daemon/src/coordinate/mod.rs
@@ -12,13 +12,13 @@
 mod in_flight;
 mod isolation;
 mod job;
-mod links;
 mod operations;
+mod peer_calls;
 mod reader;
 mod resume;
 mod submit;
 mod table;
 
-pub use handle::{Handle, Sources};
-pub use isolation::{Isolation, Watch};
-pub use links::{Links, ReadCall};
+pub use handle::{Dependencies, Handle};
+pub use isolation::{Isolation, IsolationMonitor};
+pub use peer_calls::{PeerCalls, ReadCall};
--- a/crates/daemon/src/coordinate/operations.rs
+++ b/crates/daemon/src/coordinate/operations.rs
@@ -189,7 +189,7 @@
     coordinator: id::Incarnation,
     mut request: peer::ReadRequest,
 ) -> (Vec<Input>, Option<peer::ReadRequest>) {
-    let call = (context.links.read)(coordinator, request.clone(), READ_WAIT + READ_MARGIN);
+    let call = (context.peer_calls.read)(coordinator, request.clone(), READ_WAIT + READ_MARGIN);
     match call.await {
         Ok(peer::ReadAnswer::Chunks(chunks)) => {
             let tokens: usize = chunks.iter().map(|chunk| chunk.tokens.len()).sum();
--- a/crates/daemon/src/coordinate/links.rs
+++ b/crates/daemon/src/coordinate/peer_calls.rs
@@ -19,7 +19,7 @@
 
 /// The calls to other coordinators.
 #[derive(Clone)]
-pub struct Links {
+pub struct PeerCalls {
     /// The incarnation of this daemon.
     pub own: id::Incarnation,
     /// Reads part of an answer from its coordinator.
--- a/crates/daemon/src/coordinate/resume.rs
+++ b/crates/daemon/src/coordinate/resume.rs
@@ -48,7 +48,7 @@
     ///
     /// Without a record, only the issuer can know the request.
     fn check_issuer(&self, key: &id::RequestKey) -> Result<(), request::Refusal> {
-        if key.id.issuer().is_some_and(|issuer| issuer != self.context.links.own) {
+        if key.id.issuer().is_some_and(|issuer| issuer != self.context.peer_calls.own) {
             return Ok(());
         }
         let remedy = "no answer is known under this id: send the request again with the same id \
@@ -75,7 +75,7 @@
         let initial = coordinate::InitialState {
             key: key.clone(),
             fingerprint,
-            own: self.context.links.own,
+            own: self.context.peer_calls.own,
             nonce: id::Nonce(rand::random()),
             maybe_retry: true,
             resumable,
--- a/crates/daemon/src/coordinate/submit.rs
+++ b/crates/daemon/src/coordinate/submit.rs
@@ -97,7 +97,7 @@
         arrival: &coordinate::Arrival,
         admission: coordinate::Admission,
     ) -> (job::Job, Signals) {
-        let own = self.context.links.own;
+        let own = self.context.peer_calls.own;
         let id = match (arrival.id, admission) {
             (None, coordinate::Admission::Issue(recording)) => {
                 coordinate::issue(uuid::Uuid::now_v7(), own, recording)
@@ -125,7 +125,7 @@
         coordinate::InitialState {
             key,
             fingerprint,
-            own: self.context.links.own,
+            own: self.context.peer_calls.own,
             nonce: id::Nonce(rand::random()),
             maybe_retry: arrival.may_be_retry(),
             resumable,
--- a/crates/daemon/src/daemon/drain.rs
+++ b/crates/daemon/src/daemon/drain.rs
@@ -39,7 +39,7 @@
     own: id::Incarnation,
     config: config::Handle,
     view: watch::Receiver<sync::Arc<decide::View>>,
-    in_force: watch::Receiver<members::InForce>,
+    in_force: watch::Receiver<members::ReachedVersions>,
     states: Shared,
 }
 
--- a/crates/daemon/src/daemon/routes.rs
+++ b/crates/daemon/src/daemon/routes.rs
@@ -25,8 +25,8 @@
         config::Peers {
             own: self.own,
             view: self.members.subscribe(),
-            newest: self.members.newest(),
-            pull: sync::Arc::new(move |member, request| {
+            newest: self.members.newest_version(),
+            request_changes: sync::Arc::new(move |member, request| {
                 let peers = peers.clone();
                 let call = async move {
                     let client = peers.client(member).await?;
@@ -74,9 +74,9 @@
         }
     }
 
-    pub(super) fn schedule(&self) -> schedule::Links {
+    pub(super) fn schedule(&self) -> schedule::SchedulerCalls {
         let (ask_peers, report_peers) = (self.peers.clone(), self.peers.clone());
-        schedule::Links {
+        schedule::SchedulerCalls {
             own: self.own,
             view: self.members.subscribe(),
             ask: sync::Arc::new(move |member, request, timeout| {
@@ -104,9 +104,9 @@
         }
     }
 
-    pub(super) fn coordinate(&self) -> coordinate::Links {
+    pub(super) fn coordinate(&self) -> coordinate::PeerCalls {
         let peers = self.peers.clone();
-        coordinate::Links {
+        coordinate::PeerCalls {
             own: self.own,
             read: sync::Arc::new(move |member, request, timeout| {
                 let peers = peers.clone();
--- a/crates/daemon/src/daemon/servers.rs
+++ b/crates/daemon/src/daemon/servers.rs
@@ -28,16 +28,16 @@
         services: &services::Services,
     ) -> anyhow::Result<Self> {
         serve_peers(kernel, settings, identity, listeners.peers, services.methods.clone());
-        let face = sync::Arc::new(callers::Face::new(
+        let api = sync::Arc::new(callers::Api::new(
             settings.callers,
             services.config.clone(),
-            services.coordinate.ways_in(),
+            services.coordinate.caller_calls(),
             kernel.traffic().clone(),
         ));
-        let answer = move |call| sync::Arc::clone(&face).answer(call);
+        let answer = move |call| sync::Arc::clone(&api).answer(call);
         let callers = http::Server::start(listeners.callers, settings.callers.server(), answer)?;
-        let face = sync::Arc::new(new_operators_face(settings, services)?);
-        let answer = move |call| sync::Arc::clone(&face).answer(call);
+        let api = sync::Arc::new(new_operators_api(settings, services)?);
+        let answer = move |call| sync::Arc::clone(&api).answer(call);
         let limits = http::ServerLimits::default();
         let operators = http::Server::start(listeners.operators, limits, answer)?;
         let metrics_handle = services.metrics.clone();
@@ -69,12 +69,12 @@
     kernel.traffic().spawn("peers", serve);
 }
 
-fn new_operators_face(
+fn new_operators_api(
     settings: &settings::Settings,
     services: &services::Services,
-) -> anyhow::Result<operators::Face> {
+) -> anyhow::Result<operators::Api> {
     let timeline = services.timeline.clone();
-    Ok(operators::Face::new(
+    Ok(operators::Api::new(
         settings.operators.limits.clone(),
         operators::Identity { host: settings.host.clone(), incarnation: services.members.own() },
         operators::Tokens::parse(&settings.operators.token_hashes)?,
--- a/crates/daemon/src/daemon/services.rs
+++ b/crates/daemon/src/daemon/services.rs
@@ -60,10 +60,10 @@
         let orders = self.start_orders(&config, &members, kv.clone());
         let schedule = self.start_schedule(&routes, &config, &hosts);
         let gate = kernel::Gate::default();
-        let coordinate = coordinate::Handle::new(coordinate::Sources {
+        let coordinate = coordinate::Handle::new(coordinate::Dependencies {
             settings: self.settings.coordinate,
             clock: self.clock,
-            links: routes.coordinate(),
+            peer_calls: routes.coordinate(),
             config: config.clone(),
             hosts: hosts.clone(),
             intents: intents.clone(),
@@ -136,7 +136,7 @@
         let (members, runner) =
             members::new(self.own, location, decide::Params::default(), self.clock);
         let found = members.clone();
-        let (peers, lost) = peers::new(
+        let (peers, failed_peers) = peers::new(
             self.identity.clone(),
             self.settings.peers.limits,
             peers::Settings::default(),
@@ -145,7 +145,7 @@
         );
         let sources = members::Sources {
             peers: peers.clone(),
-            lost,
+            failed_peers,
             versions,
             hosts: Some(hosts.clone()),
             seeds: self.settings.peers.seeds.clone(),
@@ -188,7 +188,7 @@
     ) -> schedule::Handle {
         let sources = schedule::Sources {
             clock: self.clock,
-            links: routes.schedule(),
+            scheduler_calls: routes.schedule(),
             config: config.subscribe(),
             hosts: hosts.clone(),
             endpoints: self.settings.endpoints,
@@ -205,14 +205,14 @@
         kv: platform::KvClient,
     ) -> coordinate::Isolation {
         let isolation = coordinate::Isolation::default();
-        let watch = coordinate::Watch {
+        let monitor = coordinate::IsolationMonitor {
             isolation: isolation.clone(),
             own: self.own,
             view: members.subscribe(),
             kv,
-            bound: self.settings.coordinate.isolation(),
+            timeout: self.settings.coordinate.isolation(),
         };
-        self.spawn("isolation", watch.run());
+        self.spawn("isolation", monitor.run());
         isolation
     }
 
--- a/crates/daemon/src/endpoints/watcher.rs
+++ b/crates/daemon/src/endpoints/watcher.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(super) struct Sources {
     pub(super) config: watch::Receiver<sync::Arc<config::Snapshot>>,
-    pub(super) hosts: watch::Receiver<Option<hosts::Reading>>,
+    pub(super) hosts: watch::Receiver<Option<hosts::HostsRead>>,
     pub(super) probes: mpsc::Receiver<id::EndpointName>,
 }
 
@@ -130,10 +130,10 @@
     }
 
     async fn read_hosts(&mut self) -> Result<(), Closed> {
-        let reading = self.sources.hosts.borrow_and_update().clone();
-        let Some(reading) = reading else { return Ok(()) };
-        let begun = Timestamp::ZERO + reading.begun.saturating_duration_since(self.origin);
-        let inputs = self.states.set_hosts(self.now(), begun, reading.hosts);
+        let read = self.sources.hosts.borrow_and_update().clone();
+        let Some(read) = read else { return Ok(()) };
+        let started = Timestamp::ZERO + read.started.saturating_duration_since(self.origin);
+        let inputs = self.states.set_hosts(self.now(), started, read.hosts);
         send_all(&self.feed, inputs).await
     }
 
--- a/crates/daemon/src/hosts/handle.rs
+++ b/crates/daemon/src/hosts/handle.rs
@@ -10,23 +10,23 @@
 /// A handle to the last host list that was read from the platform. Clones share the list.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    readings: watch::Receiver<Option<hosts::Reading>>,
+    reads: watch::Receiver<Option<hosts::HostsRead>>,
 }
 
 /// Creates the handle for the other services and the poller that must run to update it.
 pub fn new(settings: hosts::Settings, client: platform::HostsClient) -> (Handle, hosts::Poller) {
-    let (sender, readings) = watch::channel(None);
-    (Handle { readings }, hosts::Poller::new(settings, client, sender))
+    let (sender, reads) = watch::channel(None);
+    (Handle { reads }, hosts::Poller::new(settings, client, sender))
 }
 
 impl Handle {
     /// Returns the last list read, or `None` before the first successful read.
     pub fn list(&self) -> Option<sync::Arc<message::HostList>> {
-        self.readings.borrow().as_ref().map(|reading| sync::Arc::clone(&reading.list))
+        self.reads.borrow().as_ref().map(|read| sync::Arc::clone(&read.list))
     }
 
     /// Returns a receiver that is notified of each successful read, even if the list is unchanged.
-    pub fn subscribe(&self) -> watch::Receiver<Option<hosts::Reading>> {
-        self.readings.clone()
+    pub fn subscribe(&self) -> watch::Receiver<Option<hosts::HostsRead>> {
+        self.reads.clone()
     }
 }
--- a/crates/daemon/src/hosts/reading.rs
+++ b/crates/daemon/src/hosts/hosts_read.rs
@@ -7,22 +7,22 @@
 
 /// One successful read of the platform's host list.
 ///
-/// Consecutive reads of equal hosts share the list of the first one; only `begun` differs.
+/// Consecutive reads of equal hosts share the list of the first one; only `started` differs.
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct HostsRead {
     /// When the read started. Changes that the platform listed later may be missing.
-    pub begun: tokio::time::Instant,
+    pub started: tokio::time::Instant,
     /// The host list.
     pub list: sync::Arc<message::HostList>,
     /// The hosts of the list, grouped by state.
     pub hosts: sync::Arc<endpoints::Hosts>,
 }
 
-impl Reading {
-    /// Creates a reading of `list` that started at `begun`.
-    pub fn new(begun: tokio::time::Instant, list: message::HostList) -> Self {
+impl HostsRead {
+    /// Creates the read of `list` that started at `started`.
+    pub fn new(started: tokio::time::Instant, list: message::HostList) -> Self {
         let hosts = sync::Arc::new(group_by_state(&list));
-        Self { begun, list: sync::Arc::new(list), hosts }
+        Self { started, list: sync::Arc::new(list), hosts }
     }
 }
 
--- a/crates/daemon/src/hosts/poller.rs
+++ b/crates/daemon/src/hosts/poller.rs
@@ -11,16 +11,16 @@
 pub struct Poller {
     settings: hosts::Settings,
     client: platform::HostsClient,
-    readings: watch::Sender<Option<hosts::Reading>>,
+    reads: watch::Sender<Option<hosts::HostsRead>>,
 }
 
 impl Poller {
     pub(super) fn new(
         settings: hosts::Settings,
         client: platform::HostsClient,
-        readings: watch::Sender<Option<hosts::Reading>>,
+        reads: watch::Sender<Option<hosts::HostsRead>>,
     ) -> Self {
-        Self { settings, client, readings }
+        Self { settings, client, reads }
     }
 
     /// Polls until every handle is dropped. Drop the future to cancel it.
@@ -28,12 +28,12 @@
     /// While the platform does not answer, handles keep the last list.
     pub async fn run(self) {
         let mut failing = false;
-        while !self.readings.is_closed() {
-            let begun = tokio::time::Instant::now();
+        while !self.reads.is_closed() {
+            let started = tokio::time::Instant::now();
             match self.client.list().await {
                 Ok(list) => {
                     failing = false;
-                    self.publish(begun, list);
+                    self.publish(started, list);
                 }
                 Err(error) => {
                     if !failing {
@@ -46,10 +46,10 @@
         }
     }
 
-    fn publish(&self, begun: tokio::time::Instant, list: message::HostList) {
-        self.readings.send_modify(|last| match last {
-            Some(last) if last.list.hosts == list.hosts => last.begun = begun,
-            _ => *last = Some(hosts::Reading::new(begun, list)),
+    fn publish(&self, started: tokio::time::Instant, list: message::HostList) {
+        self.reads.send_modify(|last| match last {
+            Some(last) if last.list.hosts == list.hosts => last.started = started,
+            _ => *last = Some(hosts::HostsRead::new(started, list)),
         });
     }
 }
--- a/crates/daemon/src/members/handle.rs
+++ b/crates/daemon/src/members/handle.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     clock, config,
-    members::{InForce, Runner, command},
+    members::{ReachedVersions, Runner, command},
     peers,
 };
 
@@ -24,9 +24,9 @@
     pub(super) own: id::Incarnation,
     pub(super) commands: mpsc::Sender<command::Command>,
     pub(super) views: watch::Receiver<sync::Arc<members::View>>,
-    pub(super) newest: watch::Receiver<Option<config::Newest>>,
-    pub(super) in_force: watch::Receiver<InForce>,
-    pub(super) contact: watch::Receiver<Option<tokio::time::Instant>>,
+    pub(super) newest_version: watch::Receiver<Option<config::AnnouncedVersion>>,
+    pub(super) in_force: watch::Receiver<ReachedVersions>,
+    pub(super) last_contact: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
 /// Creates the service.
@@ -41,19 +41,19 @@
     let (commands, received) = mpsc::channel(COMMAND_CAPACITY);
     let membership = members::Membership::new(own, location, params, clock.monotonic());
     let (views_sender, views) = watch::channel(sync::Arc::new(membership.view()));
-    let (newest_sender, newest) = watch::channel(None);
-    let (in_force_sender, in_force) = watch::channel(InForce::default());
-    let (contact_sender, contact) = watch::channel(None);
+    let (newest_sender, newest_version) = watch::channel(None);
+    let (in_force_sender, in_force) = watch::channel(ReachedVersions::default());
+    let (contact_sender, last_contact) = watch::channel(None);
     let runner = Runner {
         clock,
         membership,
         commands: received,
         views: views_sender,
-        newest: newest_sender,
+        newest_version: newest_sender,
         in_force: in_force_sender,
-        contact: contact_sender,
+        last_contact: contact_sender,
     };
-    (Handle { own, commands, views, newest, in_force, contact }, runner)
+    (Handle { own, commands, views, newest_version, in_force, last_contact }, runner)
 }
 
 impl Handle {
@@ -73,21 +73,21 @@
     }
 
     /// Returns a receiver of the newest configuration version that a peer has announced.
-    pub fn newest(&self) -> watch::Receiver<Option<config::Newest>> {
-        self.newest.clone()
+    pub fn newest_version(&self) -> watch::Receiver<Option<config::AnnouncedVersion>> {
+        self.newest_version.clone()
     }
 
     /// Returns a receiver of the versions that every member has reached.
     ///
     /// The versions fall back to zero whenever the set of members changes. For one set of members,
     /// a version that was reached stays reached.
-    pub fn in_force(&self) -> watch::Receiver<InForce> {
+    pub fn in_force(&self) -> watch::Receiver<ReachedVersions> {
         self.in_force.clone()
     }
 
     /// Returns when this daemon last heard from any peer, or `None` if it never has.
-    pub fn contact(&self) -> Option<tokio::time::Instant> {
-        *self.contact.borrow()
+    pub fn last_contact(&self) -> Option<tokio::time::Instant> {
+        *self.last_contact.borrow()
     }
 
     /// Returns the peer address of a member; `None` if the member is unknown or does not count any more.
--- a/crates/daemon/src/members/mod.rs
+++ b/crates/daemon/src/members/mod.rs
@@ -5,11 +5,11 @@
 
 mod command;
 mod handle;
-mod in_force;
+mod reached_versions;
 mod runner;
 mod sources;
 
 pub use handle::{Handle, new};
-pub use in_force::InForce;
+pub use reached_versions::ReachedVersions;
 pub use runner::Runner;
 pub use sources::Sources;
--- a/crates/daemon/src/members/runner.rs
+++ b/crates/daemon/src/members/runner.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     clock, config, hosts,
-    members::{InForce, Sources, command, handle},
+    members::{ReachedVersions, Sources, command, handle},
     peers,
 };
 
@@ -33,9 +33,9 @@
     pub(super) membership: members::Membership,
     pub(super) commands: mpsc::Receiver<command::Command>,
     pub(super) views: watch::Sender<sync::Arc<members::View>>,
-    pub(super) newest: watch::Sender<Option<config::Newest>>,
-    pub(super) in_force: watch::Sender<InForce>,
-    pub(super) contact: watch::Sender<Option<tokio::time::Instant>>,
+    pub(super) newest_version: watch::Sender<Option<config::AnnouncedVersion>>,
+    pub(super) in_force: watch::Sender<ReachedVersions>,
+    pub(super) last_contact: watch::Sender<Option<tokio::time::Instant>>,
 }
 
 impl Runner {
@@ -46,7 +46,7 @@
         let mut calls = task::JoinSet::new();
         let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut readings = sources.hosts.as_ref().map(hosts::Handle::subscribe);
+        let mut reads = sources.hosts.as_ref().map(hosts::Handle::subscribe);
         self.set_seeds(&sources, &mut calls);
         self.set_versions(&mut sources, &mut calls);
         loop {
@@ -64,12 +64,12 @@
                         self.step(input, &sources.peers, &mut calls);
                     }
                 }
-                Some(lost) = sources.lost.recv() => {
-                    let input = members::Input::Failed(members::Target::Member(lost));
+                Some(failed) = sources.failed_peers.recv() => {
+                    let input = members::Input::Failed(members::Target::Member(failed));
                     self.step(input, &sources.peers, &mut calls);
                 }
                 Ok(()) = sources.versions.changed() => self.set_versions(&mut sources, &mut calls),
-                true = hosts_changed(&mut readings) => self.set_seeds(&sources, &mut calls),
+                true = hosts_changed(&mut reads) => self.set_seeds(&sources, &mut calls),
             }
         }
     }
@@ -139,7 +139,8 @@
                 calls.spawn(probe(peers.clone(), via, target));
             }
             members::Output::Pull { from: incarnation, version } => {
-                self.newest.send_replace(Some(config::Newest { version, incarnation }));
+                self.newest_version
+                    .send_replace(Some(config::AnnouncedVersion { version, incarnation }));
             }
             members::Output::Changed => self.publish(),
             // `receive` sends answers back to the peer.
@@ -151,7 +152,7 @@
         let members = self.membership.members_hash();
         let versions = self.membership.in_force();
         self.in_force.send_if_modified(|known| {
-            let now = InForce { versions, members };
+            let now = ReachedVersions { versions, members };
             std::mem::replace(known, now) != now
         });
         if self.views.borrow().version != self.membership.version() {
@@ -160,8 +161,9 @@
     }
 
     fn publish_contact(&self) {
-        let contact = self.membership.last_contact().map(|at| self.clock.instant(at));
-        self.contact.send_if_modified(|known| std::mem::replace(known, contact) != contact);
+        let last_contact = self.membership.last_contact().map(|at| self.clock.instant(at));
+        self.last_contact
+            .send_if_modified(|known| std::mem::replace(known, last_contact) != last_contact);
     }
 
     fn set_versions(&mut self, sources: &mut Sources, calls: &mut task::JoinSet<members::Input>) {
@@ -184,9 +186,9 @@
 }
 
 /// Waits for the next reading of the host list; waits forever if there is no list.
-async fn hosts_changed(readings: &mut Option<watch::Receiver<Option<hosts::Reading>>>) -> bool {
-    if let Some(readings) = readings
-        && readings.changed().await.is_ok()
+async fn hosts_changed(reads: &mut Option<watch::Receiver<Option<hosts::HostsRead>>>) -> bool {
+    if let Some(reads) = reads
+        && reads.changed().await.is_ok()
     {
         return true;
     }
--- a/crates/daemon/src/members/sources.rs
+++ b/crates/daemon/src/members/sources.rs
@@ -11,7 +11,7 @@
     /// The connections to peers.
     pub peers: peers::Handle,
     /// Receives the peers whose connections failed.
-    pub lost: mpsc::Receiver<id::Incarnation>,
+    pub failed_peers: mpsc::Receiver<id::Incarnation>,
     /// The versions that this daemon has reached.
     pub versions: watch::Receiver<members::Versions>,
     /// The platform's host list, a source of peer addresses; `None` if there is no list.
--- a/crates/daemon/src/operators/face.rs
+++ b/crates/daemon/src/operators/api.rs
@@ -26,7 +26,7 @@
 }
 
 /// The server of the operators' API.
-pub struct Face {
+pub struct Api {
     pub(crate) settings: Settings,
     pub(crate) identity: Identity,
     pub(crate) tokens: Tokens,
@@ -38,7 +38,7 @@
     watches: Semaphore,
 }
 
-impl Face {
+impl Api {
     /// Creates the server on top of the services that it exposes.
     pub fn new(
         settings: Settings,
--- a/crates/daemon/src/operators/routes.rs
+++ b/crates/daemon/src/operators/routes.rs
@@ -8,27 +8,25 @@
 use trefoildyke_types::{error, resource};
 use trefoildyke_wire::{http, operators::message};
 
-use crate::operators::{Face, Progress, query::Query, reply, status};
+use crate::operators::{Api, Progress, query::Query, reply, status};
 
 type Reply = Result<hyper::Response<http::Body>, error::Error>;
 
 /// Returns the answer to a request, selected by its method and path.
-pub(crate) async fn answer(face: &Face, request: hyper::Request<body::Incoming>) -> Reply {
+pub(crate) async fn answer(api: &Api, request: hyper::Request<body::Incoming>) -> Reply {
     let (parts, body) = request.into_parts();
     let segments: Vec<_> = parts.uri.path().split('/').skip(1).collect();
     match (&parts.method, segments.as_slice()) {
-        (&Method::GET, ["v1", "resources", kind]) => {
-            list(face, parse_kind(kind)?, &parts.uri).await
-        }
-        (&Method::GET, ["v1", "resources", kind, name]) => get(face, parse_kind(kind)?, name).await,
-        (&Method::PUT, ["v1", "resources", kind, name]) => put(face, &key(kind, name)?, body).await,
+        (&Method::GET, ["v1", "resources", kind]) => list(api, parse_kind(kind)?, &parts.uri).await,
+        (&Method::GET, ["v1", "resources", kind, name]) => get(api, parse_kind(kind)?, name).await,
+        (&Method::PUT, ["v1", "resources", kind, name]) => put(api, &key(kind, name)?, body).await,
         (&Method::DELETE, ["v1", "resources", kind, name]) => {
-            delete(face, key(kind, name)?, &parts.uri).await
+            delete(api, key(kind, name)?, &parts.uri).await
         }
-        (&Method::POST, ["v1", "apply"]) => apply(face, body).await,
-        (&Method::GET, ["v1", "watch"]) => watch(face, &parts.uri).await,
-        (&Method::GET, ["v1", "status"]) => Ok(overview(face)),
-        (&Method::GET, ["v1", "events"]) => events(face, &parts.uri),
+        (&Method::POST, ["v1", "apply"]) => apply(api, body).await,
+        (&Method::GET, ["v1", "watch"]) => watch(api, &parts.uri).await,
+        (&Method::GET, ["v1", "status"]) => Ok(overview(api)),
+        (&Method::GET, ["v1", "events"]) => events(api, &parts.uri),
         (method, _) => {
             let message = format!("there is no call {method} {}", parts.uri.path());
             Err(error::Error::new(error::ErrorKind::NotFound, message)
@@ -47,32 +45,32 @@
     Ok(resource::ResourceKey { kind: parse_kind(kind)?, name: name.to_owned() })
 }
 
-async fn list(face: &Face, kind: resource::Kind, uri: &hyper::Uri) -> Reply {
+async fn list(api: &Api, kind: resource::Kind, uri: &hyper::Uri) -> Reply {
     let query = Query::new(uri, &["after", "limit"])?;
     let after = query.text("after").unwrap_or("");
-    let limit = query.number("limit")?.unwrap_or(face.settings.page).clamp(1, face.settings.page);
-    let snapshot = face.config.snapshot();
-    let progress = *face.progress.borrow();
+    let limit = query.number("limit")?.unwrap_or(api.settings.page).clamp(1, api.settings.page);
+    let snapshot = api.config.snapshot();
+    let progress = *api.progress.borrow();
     let mut rest = snapshot.of_kind(kind).skip_while(|resource| resource.name.as_str() <= after);
     let page: Vec<_> = rest.by_ref().take(limit).collect();
     let more = rest.next().is_some();
     let resources = match kind {
-        resource::Kind::EngineOrder => orders_with_status(face, &page, &progress).await,
+        resource::Kind::EngineOrder => orders_with_status(api, &page, &progress).await,
         _ => page.into_iter().map(|r| status::with_status(r, &progress)).collect(),
     };
     Ok(reply::ok(&message::ResourcePage { version: snapshot.version(), resources, more }))
 }
 
-async fn get(face: &Face, kind: resource::Kind, name: &str) -> Reply {
-    let snapshot = face.config.snapshot();
+async fn get(api: &Api, kind: resource::Kind, name: &str) -> Reply {
+    let snapshot = api.config.snapshot();
     let Some(resource) = snapshot.resource(kind, name) else {
         let key = resource::ResourceKey { kind, name: name.to_owned() };
         return Err(error::Error::new(error::ErrorKind::NotFound, "does not exist").about(&key));
     };
-    let progress = *face.progress.borrow();
+    let progress = *api.progress.borrow();
     if kind == resource::Kind::EngineOrder {
-        let end = match face.orders.ended(&order_key(resource)).await {
-            Ok(Some(ended)) => status::OrderEnd::Ended(ended.outcome),
+        let end = match api.orders.record(&order_key(resource)).await {
+            Ok(Some(record)) => status::OrderEnd::Ended(record.outcome),
             Ok(None) => status::OrderEnd::Open,
             Err(error) => status::OrderEnd::Unreadable(error),
         };
@@ -83,19 +81,19 @@
 
 /// Returns orders with their status; reads the key-value service unless `page` is empty.
 async fn orders_with_status(
-    face: &Face,
+    api: &Api,
     page: &[&sync::Arc<resource::Resource>],
     progress: &Progress,
 ) -> Vec<resource::Resource> {
     let ended = if page.is_empty() {
         Ok(collections::BTreeMap::new())
     } else {
-        face.orders.all_ended().await
+        api.orders.all_records().await
     };
     let end = |resource: &resource::Resource| match &ended {
-        Ok(ended) => ended
-            .get(&order_key(resource))
-            .map_or(status::OrderEnd::Open, |ended| status::OrderEnd::Ended(ended.outcome.clone())),
+        Ok(ended) => ended.get(&order_key(resource)).map_or(status::OrderEnd::Open, |record| {
+            status::OrderEnd::Ended(record.outcome.clone())
+        }),
         Err(error) => status::OrderEnd::Unreadable(error.clone()),
     };
     page.iter()
@@ -107,10 +105,9 @@
     orders::OrderKey { name: resource.name.clone(), generation: resource.generation }
 }
 
-async fn put(face: &Face, key: &resource::ResourceKey, body: body::Incoming) -> Reply {
-    let _permit = face.acquire_change_permit()?;
-    let text =
-        http::read_body(body, face.settings.resource_bytes, face.settings.body_wait()).await?;
+async fn put(api: &Api, key: &resource::ResourceKey, body: body::Incoming) -> Reply {
+    let _permit = api.acquire_change_permit()?;
+    let text = http::read_body(body, api.settings.resource_bytes, api.settings.body_wait()).await?;
     let resource = config::from_json(&text)?;
     if resource.key() != *key {
         let message = format!("the body is {}, but the path names {key}", resource.key());
@@ -118,24 +115,24 @@
             .at("name")
             .remedy("send it to its own path"));
     }
-    change(face, &config::ChangeSet::put(resource)).await
+    change(api, &config::ChangeSet::put(resource)).await
 }
 
-async fn delete(face: &Face, key: resource::ResourceKey, uri: &hyper::Uri) -> Reply {
-    let _permit = face.acquire_change_permit()?;
+async fn delete(api: &Api, key: resource::ResourceKey, uri: &hyper::Uri) -> Reply {
+    let _permit = api.acquire_change_permit()?;
     let resource_version = Query::new(uri, &["resource_version"])?.number("resource_version")?;
-    change(face, &config::ChangeSet::delete(config::Deletion { key, resource_version })).await
+    change(api, &config::ChangeSet::delete(config::Deletion { key, resource_version })).await
 }
 
-async fn apply(face: &Face, body: body::Incoming) -> Reply {
-    let _permit = face.acquire_change_permit()?;
-    let text = http::read_body(body, face.settings.change_bytes, face.settings.body_wait()).await?;
-    change(face, &config::change_from_json(&text)?).await
+async fn apply(api: &Api, body: body::Incoming) -> Reply {
+    let _permit = api.acquire_change_permit()?;
+    let text = http::read_body(body, api.settings.change_bytes, api.settings.body_wait()).await?;
+    change(api, &config::change_from_json(&text)?).await
 }
 
-async fn change(face: &Face, set: &config::ChangeSet) -> Reply {
-    let snapshot = face.config.write(set).await?;
-    let progress = *face.progress.borrow();
+async fn change(api: &Api, set: &config::ChangeSet) -> Reply {
+    let snapshot = api.config.write(set).await?;
+    let progress = *api.progress.borrow();
     let accepted = set.puts.iter().filter_map(|put| {
         // A later change may already have replaced or deleted the resource.
         snapshot.resource(put.spec.kind(), &put.name).map(|r| status::with_status(r, &progress))
@@ -144,15 +141,15 @@
     Ok(reply::ok(&message::Accepted { version: snapshot.version(), resources }))
 }
 
-async fn watch(face: &Face, uri: &hyper::Uri) -> Reply {
+async fn watch(api: &Api, uri: &hyper::Uri) -> Reply {
     let query = Query::new(uri, &["after", "in_force", "settled", "wait_ms"])?;
     let after = query.number("after")?.unwrap_or(0);
     let in_force = query.number("in_force")?.unwrap_or(u64::MAX);
     let settled = query.number("settled")?.unwrap_or(u64::MAX);
-    let wait_ms = query.number("wait_ms")?.unwrap_or(0).min(face.settings.watch_ms);
-    let _permit = face.acquire_watch_permit()?;
-    let mut snapshots = face.config.subscribe();
-    let mut progress = face.progress.clone();
+    let wait_ms = query.number("wait_ms")?.unwrap_or(0).min(api.settings.watch_ms);
+    let _permit = api.acquire_watch_permit()?;
+    let mut snapshots = api.config.subscribe();
+    let mut progress = api.progress.clone();
     let changed = async {
         tokio::select! {
             _ = snapshots.wait_for(|snapshot| snapshot.version() > after) => {}
@@ -161,21 +158,21 @@
     };
     // After a timeout, the answer has the same form, without anything new.
     let _ = time::timeout(time::Duration::from_millis(wait_ms), changed).await;
-    Ok(reply::ok(&watched(face, after)))
+    Ok(reply::ok(&watched(api, after)))
 }
 
 /// Returns the resources accepted after a version, oldest first.
 ///
 /// Above the page size, the answer ends with the version in which the page size is exceeded. It contains
 /// all resources of that version, so it can be longer than a page.
-fn watched(face: &Face, after: u64) -> message::Watched {
-    let snapshot = face.config.snapshot();
-    let progress = *face.progress.borrow();
+fn watched(api: &Api, after: u64) -> message::Watched {
+    let snapshot = api.config.snapshot();
+    let progress = *api.progress.borrow();
     let resources = snapshot.resources().values();
     let mut changed: Vec<_> = resources.filter(|r| r.resource_version > after).collect();
     changed.sort_by_key(|resource| resource.resource_version);
     let mut version = snapshot.version();
-    if let Some(last) = changed.get(face.settings.page) {
+    if let Some(last) = changed.get(api.settings.page) {
         version = last.resource_version;
         changed.retain(|resource| resource.resource_version <= version);
     }
@@ -187,19 +184,19 @@
     }
 }
 
-fn overview(face: &Face) -> hyper::Response<http::Body> {
-    let Progress { in_force, settled, live } = *face.progress.borrow();
+fn overview(api: &Api) -> hyper::Response<http::Body> {
+    let Progress { in_force, settled, live } = *api.progress.borrow();
     reply::ok(&message::Overview {
-        host: face.identity.host.clone(),
-        incarnation: face.identity.incarnation,
-        version: face.config.snapshot().version(),
+        host: api.identity.host.clone(),
+        incarnation: api.identity.incarnation,
+        version: api.config.snapshot().version(),
         in_force,
         settled,
         live,
     })
 }
 
-fn events(face: &Face, uri: &hyper::Uri) -> Reply {
+fn events(api: &Api, uri: &hyper::Uri) -> Reply {
     let after = Query::new(uri, &["after"])?.number("after")?.unwrap_or(0);
-    Ok(reply::ok(&(face.events)(after)))
+    Ok(reply::ok(&(api.events)(after)))
 }
--- a/crates/daemon/src/orders/handle.rs
+++ b/crates/daemon/src/orders/handle.rs
@@ -45,27 +45,27 @@
     ///
     /// Takes one read of the key-value service. Fails with kind `Unavailable` if the key-value service
     /// does not answer.
-    pub async fn ended(
+    pub async fn record(
         &self,
         key: &decisions::OrderKey,
-    ) -> Result<Option<orders::Ended>, error::Error> {
+    ) -> Result<Option<orders::OrderRecord>, error::Error> {
         let entry = self.kv.get(&keys::ended(key)).await?.entry;
         entry.as_ref().map(parse).transpose()
     }
 
     /// Returns the records of all orders that have ended.
     ///
-    /// Takes one read of the key-value service for each 500 orders. Fails as [`Self::ended`] does.
-    pub async fn all_ended(
+    /// Takes one read of the key-value service for each 500 orders. Fails as [`Self::record`] does.
+    pub async fn all_records(
         &self,
-    ) -> Result<collections::BTreeMap<decisions::OrderKey, orders::Ended>, error::Error> {
+    ) -> Result<collections::BTreeMap<decisions::OrderKey, orders::OrderRecord>, error::Error> {
         let (entries, _) = self.kv.list_all(keys::ENDED).await?;
-        let ended = entries.iter().map(parse);
-        ended.map(|ended| ended.map(|ended| (ended.key.clone(), ended))).collect()
+        let records = entries.iter().map(parse);
+        records.map(|record| record.map(|record| (record.key.clone(), record))).collect()
     }
 }
 
-fn parse(entry: &message::Entry) -> Result<orders::Ended, error::Error> {
+fn parse(entry: &message::Entry) -> Result<orders::OrderRecord, error::Error> {
     serde_json::from_str(&entry.value).map_err(|error| {
         error::Error::new(error::ErrorKind::Protocol, error.to_string()).about(&entry.key)
     })
--- a/crates/daemon/src/orders/lease.rs
+++ b/crates/daemon/src/orders/lease.rs
@@ -6,7 +6,7 @@
 use trefoildyke_types::{id, time::Timestamp};
 use trefoildyke_wire::platform::{self, message};
 
-use crate::orders::{Ended, LeaseClock, keys};
+use crate::orders::{LeaseClock, OrderRecord, keys};
 
 /// The value of the lease key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -26,7 +26,7 @@
     /// The configuration version that was confirmed.
     pub(super) version: u64,
     /// Every order recorded as ended, with the revision of its record.
-    pub(super) ended: collections::BTreeMap<orders::OrderKey, (Ended, u64)>,
+    pub(super) ended: collections::BTreeMap<orders::OrderKey, (OrderRecord, u64)>,
 }
 
 /// Tries to acquire the lease and to confirm the configuration version.
@@ -59,7 +59,7 @@
     lease: message::LeaseNumber,
     incarnation: id::Incarnation,
     version: u64,
-) -> Option<(u64, collections::BTreeMap<orders::OrderKey, (Ended, u64)>)> {
+) -> Option<(u64, collections::BTreeMap<orders::OrderKey, (OrderRecord, u64)>)> {
     let token = put_holder(kv, lease, incarnation).await?;
     if confirm(kv, version).await != Confirmation::Confirmed {
         return None;
@@ -122,11 +122,11 @@
 
 async fn read_ended(
     kv: &platform::KvClient,
-) -> Option<collections::BTreeMap<orders::OrderKey, (Ended, u64)>> {
+) -> Option<collections::BTreeMap<orders::OrderKey, (OrderRecord, u64)>> {
     let (entries, _) = kv.list_all(keys::ENDED).await.ok()?;
     let parse = |entry: message::Entry| {
-        let ended: Ended = serde_json::from_str(&entry.value).ok()?;
-        Some((ended.key.clone(), (ended, entry.revision)))
+        let record: OrderRecord = serde_json::from_str(&entry.value).ok()?;
+        Some((record.key.clone(), (record, entry.revision)))
     };
     Some(entries.into_iter().filter_map(parse).collect())
 }
@@ -146,9 +146,9 @@
 }
 
 /// Records how an order ended.
-pub(super) async fn store_record(kv: &platform::KvClient, ended: &Ended) -> orders::Input {
-    let key = ended.key.clone();
-    let Ok(value) = serde_json::to_string(ended) else { return orders::Input::NotStored(key) };
+pub(super) async fn store_record(kv: &platform::KvClient, record: &OrderRecord) -> orders::Input {
+    let key = record.key.clone();
+    let Ok(value) = serde_json::to_string(record) else { return orders::Input::NotStored(key) };
     let put = message::Put { key: keys::ended(&key), value, expect: Some(0), lease: None };
     match kv.put(&put).await {
         Ok(_) | Err(platform::WriteError::Conflict(_)) => orders::Input::Stored(key),
--- a/crates/daemon/src/orders/ended.rs
+++ b/crates/daemon/src/orders/order_record.rs
@@ -5,7 +5,7 @@
 /// The record of how an order ended; written once and never changed.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ended {
+pub struct OrderRecord {
     /// The key of the order.
     pub key: orders::OrderKey,
     /// The version of the configuration root that accepted the order.
--- a/crates/daemon/src/orders/service.rs
+++ b/crates/daemon/src/orders/service.rs
@@ -146,8 +146,8 @@
             decisions::Action::Store { key, outcome, fence } => {
                 log::info!("order {key} ended: {outcome:?}");
                 let version = self.version(&key);
-                let ended = orders::Ended { key, version, outcome, fence };
-                self.push(async move { lease::store_record(&kv, &ended).await });
+                let record = orders::OrderRecord { key, version, outcome, fence };
+                self.push(async move { lease::store_record(&kv, &record).await });
             }
         }
     }
@@ -165,8 +165,8 @@
         }
         let wanted: collections::BTreeSet<_> =
             orders_of(&snapshot).into_iter().map(|order| order.key).collect();
-        for (key, (ended, revision)) in &acquired.ended {
-            if ended.version <= acquired.version && !wanted.contains(key) {
+        for (key, (record, revision)) in &acquired.ended {
+            if record.version <= acquired.version && !wanted.contains(key) {
                 let (kv, key, revision) = (self.kv.clone(), key.clone(), *revision);
                 self.push(async move {
                     lease::delete_record(&kv, &key, revision).await;
--- a/crates/daemon/src/peers/handle.rs
+++ b/crates/daemon/src/peers/handle.rs
@@ -108,7 +108,7 @@
         slot: &pool::Slot,
     ) -> Result<(), error::Error> {
         match &slot.failure {
-            Some((at, cause)) if at.elapsed() < self.shared.settings.pause => {
+            Some((at, cause)) if at.elapsed() < self.shared.settings.backoff => {
                 let message = format!("peer {incarnation} was not reached a moment ago: {cause}");
                 Err(error::Error::new(error::ErrorKind::Unavailable, message))
             }
@@ -144,7 +144,7 @@
         Ok(peer::connect(address, wanted, &shared.identity, shared.limits).await?)
     }
 
-    /// Runs a connection in the scope until it ends or has been unused for [`Settings::keep`].
+    /// Runs a connection in the scope until it ends or has been unused for [`Settings::idle_timeout`].
     fn run(&self, connection: peer::Connection) -> pool::OpenConnection {
         let peer::Connection { client, incarnation, driver } = connection;
         let (last_use, alive) = (sync::Arc::new(pool::LastUse::new()), sync::Arc::new(()));
@@ -173,12 +173,12 @@
         open
     }
 
-    /// Waits until the connection has been unused for [`Settings::keep`].
+    /// Waits until the connection has been unused for [`Settings::idle_timeout`].
     async fn wait_until_unused(&self, last_use: &sync::Arc<pool::LastUse>) {
-        let keep = self.shared.settings.keep;
+        let idle_timeout = self.shared.settings.idle_timeout;
         // The pool and this task hold one reference each.
-        while last_use.idle() < keep || sync::Arc::strong_count(last_use) > 2 {
-            time::sleep(keep / 2).await;
+        while last_use.idle() < idle_timeout || sync::Arc::strong_count(last_use) > 2 {
+            time::sleep(idle_timeout / 2).await;
         }
     }
 
--- a/crates/daemon/src/peers/settings.rs
+++ b/crates/daemon/src/peers/settings.rs
@@ -6,13 +6,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// How long an unused connection stays open.
-    pub keep: time::Duration,
+    pub idle_timeout: time::Duration,
     /// How long to wait after a failed attempt to connect before the next one.
-    pub pause: time::Duration,
+    pub backoff: time::Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { keep: time::Duration::from_secs(30), pause: time::Duration::from_millis(500) }
+        Self {
+            idle_timeout: time::Duration::from_secs(30),
+            backoff: time::Duration::from_millis(500),
+        }
     }
 }
--- a/crates/daemon/src/schedule/actor.rs
+++ b/crates/daemon/src/schedule/actor.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     clock, endpoints,
-    schedule::{self, Links, command, shares},
+    schedule::{self, SchedulerCalls, command, shares},
 };
 
 /// How often to check whether the state of the endpoints is current again.
@@ -22,7 +22,7 @@
     pub(super) shard: decide::Shard,
     pub(super) name: endpoints::Shard,
     pub(super) clock: clock::Clock,
-    pub(super) links: Links,
+    pub(super) scheduler_calls: SchedulerCalls,
     pub(super) idle: time::Duration,
     pub(super) commands: mpsc::UnboundedReceiver<command::Command>,
     pub(super) feed: mpsc::Receiver<decide::Input>,
@@ -40,7 +40,7 @@
     /// Runs until another daemon schedules the shard and no work is left here.
     pub(super) async fn run(mut self) {
         self.read_config();
-        let mut view = self.links.view.clone();
+        let mut view = self.scheduler_calls.view.clone();
         let mut idle_since = None;
         loop {
             let wake_at = self.wake_at.map(|at| self.clock.instant(at));
@@ -52,7 +52,7 @@
                 Some(input) = self.feed.recv() => self.step(input),
                 Ok(()) = self.config.changed() => self.read_config(),
                 Ok(()) = view.changed() => {
-                    if !self.links.is_scheduled_here(&self.name) {
+                    if !self.scheduler_calls.is_scheduled_here(&self.name) {
                         break;
                     }
                     self.release_lost();
@@ -75,7 +75,7 @@
 
     fn is_idle(&self) -> bool {
         let empty = self.waiting.is_empty() && self.shard.permitted_count() == 0;
-        empty && !self.links.is_scheduled_here(&self.name)
+        empty && !self.scheduler_calls.is_scheduled_here(&self.name)
     }
 
     fn read_config(&mut self) {
@@ -89,7 +89,7 @@
     ///
     /// A coordinator in state `Leaving` keeps its permits, because it still finishes its work.
     fn release_lost(&mut self) {
-        let view = sync::Arc::clone(&self.links.view.borrow());
+        let view = sync::Arc::clone(&self.scheduler_calls.view.borrow());
         let is_lost = |coordinator: &id::Incarnation| {
             let member = view.find(*coordinator);
             member.is_none_or(|member| {
--- a/crates/daemon/src/schedule/handle.rs
+++ b/crates/daemon/src/schedule/handle.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     clock, endpoints,
-    schedule::{Links, Note, Settings, local, outbox},
+    schedule::{RequestEvent, SchedulerCalls, Settings, local, outbox},
 };
 
 /// The reason of a refusal by a daemon that does not schedule the shard.
@@ -17,16 +17,16 @@
 /// The error of a scheduler that gave no answer; the caller asks the next scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the scheduler of the shard is lost; ask the one that took over")]
-pub struct Lost;
+pub struct SchedulerLost;
 
 /// Asks for permits and reports on permitted requests; published in the registry as `schedule`.
 #[derive(Clone)]
 pub struct Handle {
     pub(super) settings: Settings,
     pub(super) clock: clock::Clock,
-    pub(super) links: Links,
+    pub(super) scheduler_calls: SchedulerCalls,
     pub(super) local: sync::Arc<local::LocalShards>,
-    pub(super) notes: mpsc::UnboundedSender<outbox::ShardNote>,
+    pub(super) events: mpsc::UnboundedSender<outbox::ShardEvent>,
 }
 
 impl Handle {
@@ -50,22 +50,22 @@
                 return Err(no_scheduler());
             }
             ask.left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-            let scheduler = self.links.scheduler(shard);
+            let scheduler = self.scheduler_calls.scheduler(shard);
             let answer = tokio::select! {
                 answer = self.ask_once(scheduler, shard, ask.clone(), left) => answer,
-                () = self.links.scheduler_changed(shard, scheduler) => continue,
+                () = self.scheduler_calls.scheduler_changed(shard, scheduler) => continue,
             };
             match answer {
                 Ok(answer) => return answer,
-                Err(Lost) => tokio::time::sleep(self.settings.retry()).await,
+                Err(SchedulerLost) => tokio::time::sleep(self.settings.retry()).await,
             }
         }
     }
 
     /// Queues a report on a permitted request; never waits.
-    pub fn report(&self, shard: &endpoints::Shard, note: Note) {
+    pub fn report(&self, shard: &endpoints::Shard, event: RequestEvent) {
         // Sending fails only while the daemon ends; reports are not needed then.
-        let _ = self.notes.send(outbox::ShardNote { shard: shard.clone(), note });
+        let _ = self.events.send(outbox::ShardEvent { shard: shard.clone(), event });
     }
 
     /// Registers the methods that peers call for scheduling.
@@ -88,19 +88,19 @@
         shard: &endpoints::Shard,
         ask: request::Ask,
         left: time::Duration,
-    ) -> Result<Result<request::Permit, request::Refusal>, Lost> {
-        let scheduler = scheduler.ok_or(Lost)?;
-        if scheduler == self.links.own {
+    ) -> Result<Result<request::Permit, request::Refusal>, SchedulerLost> {
+        let scheduler = scheduler.ok_or(SchedulerLost)?;
+        if scheduler == self.scheduler_calls.own {
             return self.local.ask(shard, ask).await;
         }
         let request =
             peer::AskRequest { pool: shard.pool.clone(), shard: u32::from(shard.number), ask };
-        match (self.links.ask)(scheduler, request, left).await {
-            Ok(Err(refusal)) if refusal.reason == NO_SCHEDULER => Err(Lost),
+        match (self.scheduler_calls.ask)(scheduler, request, left).await {
+            Ok(Err(refusal)) if refusal.reason == NO_SCHEDULER => Err(SchedulerLost),
             Ok(answer) => Ok(answer),
             Err(error) => {
                 log::info!(target: "schedule", "scheduler {scheduler} did not answer: {error}");
-                Err(Lost)
+                Err(SchedulerLost)
             }
         }
     }
@@ -112,7 +112,7 @@
         let shard = shard_of(request.pool, request.shard);
         match self.local.ask(&shard, request.ask).await {
             Ok(answer) => answer,
-            Err(Lost) => Err(no_scheduler()),
+            Err(SchedulerLost) => Err(no_scheduler()),
         }
     }
 
--- a/crates/daemon/src/schedule/local.rs
+++ b/crates/daemon/src/schedule/local.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     clock, endpoints, hosts,
-    schedule::{Entry, Links, Lost, Settings, actor, command, shares},
+    schedule::{Entry, SchedulerCalls, SchedulerLost, Settings, actor, command, shares},
 };
 
 /// Capacity of the channel from a shard's watcher to its actor.
@@ -22,7 +22,7 @@
     pub(super) settings: Settings,
     pub(super) endpoints: endpoints::Settings,
     pub(super) clock: clock::Clock,
-    pub(super) links: Links,
+    pub(super) scheduler_calls: SchedulerCalls,
     pub(super) config: watch::Receiver<sync::Arc<config::Snapshot>>,
     pub(super) hosts: hosts::Handle,
     /// The control thread, on which the actors run.
@@ -40,25 +40,29 @@
         &self,
         shard: &endpoints::Shard,
         ask: request::Ask,
-    ) -> Result<Result<request::Permit, request::Refusal>, Lost> {
-        if !self.links.is_scheduled_here(shard) {
-            return Err(Lost);
+    ) -> Result<Result<request::Permit, request::Refusal>, SchedulerLost> {
+        if !self.scheduler_calls.is_scheduled_here(shard) {
+            return Err(SchedulerLost);
         }
         let commands = self.commands(shard);
         let guard = command::AskGuard::new(commands.clone(), ask.key.clone());
         let (reply, answer) = oneshot::channel();
-        commands.send(command::Command::Ask(ask, reply)).map_err(|_| Lost)?;
-        let answer = answer.await.map_err(|_| Lost)?;
+        commands.send(command::Command::Ask(ask, reply)).map_err(|_| SchedulerLost)?;
+        let answer = answer.await.map_err(|_| SchedulerLost)?;
         guard.disarm();
         Ok(answer)
     }
 
     /// Passes a batch of reports to the local scheduler of a shard.
-    pub(super) fn report(&self, shard: &endpoints::Shard, entries: Vec<Entry>) -> Result<(), Lost> {
-        if !self.links.is_scheduled_here(shard) {
-            return Err(Lost);
+    pub(super) fn report(
+        &self,
+        shard: &endpoints::Shard,
+        entries: Vec<Entry>,
+    ) -> Result<(), SchedulerLost> {
+        if !self.scheduler_calls.is_scheduled_here(shard) {
+            return Err(SchedulerLost);
         }
-        self.commands(shard).send(command::Command::Entries(entries)).map_err(|_| Lost)
+        self.commands(shard).send(command::Command::Entries(entries)).map_err(|_| SchedulerLost)
     }
 
     fn commands(&self, shard: &endpoints::Shard) -> CommandSender {
@@ -85,10 +89,10 @@
             feed,
         );
         let actor = actor::Actor {
-            shard: decide::Shard::new(self.settings.policy.clone(), self.links.own),
+            shard: decide::Shard::new(self.settings.policy.clone(), self.scheduler_calls.own),
             name: shard.clone(),
             clock: self.clock,
-            links: self.links.clone(),
+            scheduler_calls: self.scheduler_calls.clone(),
             idle: self.settings.idle(),
             commands: received,
             feed: feed_receiver,
--- a/crates/daemon/src/schedule/mod.rs
+++ b/crates/daemon/src/schedule/mod.rs
@@ -8,16 +8,16 @@
 mod actor;
 mod command;
 mod handle;
-mod links;
 mod local;
-mod note;
 mod outbox;
+mod request_event;
+mod scheduler_calls;
 mod service;
 mod settings;
 mod shares;
 
-pub use handle::{Handle, Lost};
-pub use links::{AskCall, Links, ReportCall};
-pub use note::{Entry, Note};
+pub use handle::{Handle, SchedulerLost};
+pub use request_event::{Entry, RequestEvent};
+pub use scheduler_calls::{AskCall, ReportCall, SchedulerCalls};
 pub use service::{Service, Sources, create};
 pub use settings::Settings;
--- a/crates/daemon/src/schedule/outbox.rs
+++ b/crates/daemon/src/schedule/outbox.rs
@@ -9,13 +9,13 @@
 
 use crate::{
     endpoints,
-    schedule::{Entry, Links, Lost, Note, Settings, local},
+    schedule::{Entry, RequestEvent, SchedulerCalls, SchedulerLost, Settings, local},
 };
 
-/// A note with its shard.
-pub(super) struct ShardNote {
+/// An event with its shard.
+pub(super) struct ShardEvent {
     pub(super) shard: endpoints::Shard,
-    pub(super) note: Note,
+    pub(super) event: RequestEvent,
 }
 
 /// The reports that the scheduler of one shard has not received yet.
@@ -40,24 +40,24 @@
 /// The most former schedulers to remember; the oldest incarnations are dropped first.
 const MAX_FORMER: usize = 4;
 
-/// Collects notes and sends them in batches; runs on the control thread.
+/// Collects events and sends them in batches; runs on the control thread.
 pub(super) struct Outbox {
     pub(super) settings: Settings,
-    pub(super) links: Links,
+    pub(super) scheduler_calls: SchedulerCalls,
     pub(super) local: sync::Arc<local::LocalShards>,
-    pub(super) notes: mpsc::UnboundedReceiver<ShardNote>,
+    pub(super) events: mpsc::UnboundedReceiver<ShardEvent>,
 }
 
 impl Outbox {
     pub(super) async fn run(mut self) {
         let mut queues: collections::HashMap<endpoints::Shard, ShardQueue> =
             collections::HashMap::new();
-        let mut view = self.links.view.clone();
+        let mut view = self.scheduler_calls.view.clone();
         let mut progress = time::interval(self.settings.progress());
         progress.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                posted = self.notes.recv() => match posted {
+                posted = self.events.recv() => match posted {
                     Some(posted) => self.collect(posted, &mut queues).await,
                     None => return,
                 },
@@ -71,27 +71,27 @@
         }
     }
 
-    /// Queues a note and all notes that follow within the batch time.
+    /// Queues an event and all events that follow within the batch time.
     async fn collect(
         &mut self,
-        posted: ShardNote,
+        posted: ShardEvent,
         queues: &mut collections::HashMap<endpoints::Shard, ShardQueue>,
     ) {
         let end = time::Instant::now() + self.settings.batch();
-        queues.entry(posted.shard).or_default().add_note(posted.note);
-        while let Ok(Some(posted)) = time::timeout_at(end, self.notes.recv()).await {
-            queues.entry(posted.shard).or_default().add_note(posted.note);
+        queues.entry(posted.shard).or_default().add_event(posted.event);
+        while let Ok(Some(posted)) = time::timeout_at(end, self.events.recv()).await {
+            queues.entry(posted.shard).or_default().add_event(posted.event);
         }
     }
 
     async fn send(&self, shard: &endpoints::Shard, queue: &mut ShardQueue) {
-        let Some(scheduler) = self.links.scheduler(shard) else { return };
+        let Some(scheduler) = self.scheduler_calls.scheduler(shard) else { return };
         queue.prepare_for(scheduler);
         if queue.pending.is_empty() {
             return;
         }
         let entries = std::mem::take(&mut queue.pending);
-        let sent = if scheduler == self.links.own {
+        let sent = if scheduler == self.scheduler_calls.own {
             self.local.report(shard, entries.clone())
         } else {
             self.send_to_peer(scheduler, shard, &entries).await
@@ -107,19 +107,21 @@
         scheduler: id::Incarnation,
         shard: &endpoints::Shard,
         entries: &[Entry],
-    ) -> Result<(), Lost> {
-        let reports = peer::Payload::encode(&entries).map_err(|_| Lost)?;
+    ) -> Result<(), SchedulerLost> {
+        let reports = peer::Payload::encode(&entries).map_err(|_| SchedulerLost)?;
         let shard_number = u32::from(shard.number);
         let request =
             peer::ReportRequest { pool: shard.pool.clone(), shard: shard_number, reports };
-        (self.links.report)(scheduler, request, self.settings.report()).await.map_err(|_| Lost)
+        (self.scheduler_calls.report)(scheduler, request, self.settings.report())
+            .await
+            .map_err(|_| SchedulerLost)
     }
 }
 
 impl ShardQueue {
-    fn add_note(&mut self, note: Note) {
-        match note {
-            Note::Started { ask, permit } => {
+    fn add_event(&mut self, event: RequestEvent) {
+        match event {
+            RequestEvent::Started { ask, permit } => {
                 let key = ask.key.clone();
                 let taken_over = decide::TakenOver { ask, endpoint: permit.endpoint, tokens: 0 };
                 self.running.insert(key.clone(), taken_over.clone());
@@ -133,19 +135,19 @@
                     self.pending.push(Entry::Adopt(taken_over));
                 }
             }
-            Note::TakenOver { ask, endpoint } => {
+            RequestEvent::TakenOver { ask, endpoint } => {
                 let taken_over = decide::TakenOver { ask, endpoint, tokens: 0 };
                 self.running.insert(taken_over.ask.key.clone(), taken_over.clone());
                 self.pending.push(Entry::Adopt(taken_over));
             }
-            Note::Tokens { key, tokens } => self.add_tokens(key, tokens),
-            Note::Finished { key, tokens, outcome } => {
+            RequestEvent::Tokens { key, tokens } => self.add_tokens(key, tokens),
+            RequestEvent::Finished { key, tokens, outcome } => {
                 self.running.remove(&key);
                 self.unreported.remove(&key);
                 let report = decide::Report::Finished { key, tokens, outcome };
                 self.pending.push(Entry::Report(report));
             }
-            Note::HandBack { key } => {
+            RequestEvent::HandBack { key } => {
                 self.pending.push(Entry::Report(decide::Report::HandBack { key }));
             }
         }
--- a/crates/daemon/src/schedule/note.rs
+++ b/crates/daemon/src/schedule/request_event.rs
@@ -1,11 +1,11 @@
-//! Notes of coordinators on permitted requests.
+//! Events that coordinators report on permitted requests.
 
 use trefoildyke_decide::schedule;
 use trefoildyke_types::{id, request};
 
 /// An event of a permitted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum RequestEvent {
     /// The request was dispatched.
     Started {
         /// What was asked for.
--- a/crates/daemon/src/schedule/links.rs
+++ b/crates/daemon/src/schedule/scheduler_calls.rs
@@ -37,7 +37,7 @@
 
 /// Finds the scheduler of a shard and calls it.
 #[derive(Clone)]
-pub struct Links {
+pub struct SchedulerCalls {
     /// The incarnation of this daemon.
     pub own: id::Incarnation,
     /// The view of the members at this daemon.
@@ -48,7 +48,7 @@
     pub report: ReportCall,
 }
 
-impl Links {
+impl SchedulerCalls {
     /// Returns the daemon that schedules the shard in the current view.
     pub(super) fn scheduler(&self, shard: &endpoints::Shard) -> Option<id::Incarnation> {
         scheduler_in(&self.view.borrow(), shard)
--- a/crates/daemon/src/schedule/service.rs
+++ b/crates/daemon/src/schedule/service.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     clock, endpoints, hosts,
-    schedule::{Handle, Links, Settings, local, outbox},
+    schedule::{Handle, SchedulerCalls, Settings, local, outbox},
 };
 
 /// The inputs of the schedule service.
@@ -16,7 +16,7 @@
     /// The clock that the schedulers use.
     pub clock: clock::Clock,
     /// How schedulers are found and reached.
-    pub links: Links,
+    pub scheduler_calls: SchedulerCalls,
     /// The configuration.
     pub config: watch::Receiver<sync::Arc<config::Snapshot>>,
     /// The platform's host list.
@@ -39,20 +39,26 @@
         settings: settings.clone(),
         endpoints: sources.endpoints,
         clock: sources.clock,
-        links: sources.links.clone(),
+        scheduler_calls: sources.scheduler_calls.clone(),
         config: sources.config,
         hosts: sources.hosts,
         scope: sources.scope,
         actors: sync::Mutex::new(collections::HashMap::new()),
     });
-    let (notes, notes_receiver) = mpsc::unbounded_channel();
+    let (events, event_receiver) = mpsc::unbounded_channel();
     let outbox = outbox::Outbox {
         settings: settings.clone(),
-        links: sources.links.clone(),
+        scheduler_calls: sources.scheduler_calls.clone(),
         local: sync::Arc::clone(&local),
-        notes: notes_receiver,
+        events: event_receiver,
+    };
+    let handle = Handle {
+        settings,
+        clock: sources.clock,
+        scheduler_calls: sources.scheduler_calls,
+        local,
+        events,
     };
-    let handle = Handle { settings, clock: sources.clock, links: sources.links, local, notes };
     (handle, Service { outbox })
 }
 
--- a/crates/daemon/tests/testsuite/config/nodes.rs
+++ b/crates/daemon/tests/testsuite/config/nodes.rs
@@ -64,8 +64,13 @@
         self.handles.lock().unwrap().insert(incarnation, handle.clone());
         self.join(incarnation);
         let view = self.view.subscribe();
-        let pull = pull_from(sync::Arc::clone(&self.handles));
-        tasks.spawn(handle.clone().follow(service::Peers { own: incarnation, view, newest, pull }));
+        let request_changes = request_changes_from(sync::Arc::clone(&self.handles));
+        tasks.spawn(handle.clone().follow(service::Peers {
+            own: incarnation,
+            view,
+            newest,
+            request_changes,
+        }));
         Node { handle, incarnation, _tasks: tasks }
     }
 
@@ -102,14 +107,14 @@
 async fn announce_highest(
     handles: Handles,
     own: id::Incarnation,
-    announce: watch::Sender<Option<service::Newest>>,
+    announce: watch::Sender<Option<service::AnnouncedVersion>>,
 ) {
     let mut tick = tokio::time::interval(time::Duration::from_millis(20));
     loop {
         tick.tick().await;
         let others = handles.lock().unwrap().clone();
         let versions = others.into_iter().filter(|(incarnation, _)| *incarnation != own).map(
-            |(incarnation, handle)| service::Newest {
+            |(incarnation, handle)| service::AnnouncedVersion {
                 version: handle.snapshot().version(),
                 incarnation,
             },
@@ -119,7 +124,7 @@
     }
 }
 
-fn pull_from(handles: Handles) -> service::Pull {
+fn request_changes_from(handles: Handles) -> service::RequestChanges {
     sync::Arc::new(move |incarnation, request: peer::ChangesRequest| {
         let handle = handles.lock().unwrap().get(&incarnation).cloned();
         async move {
--- a/crates/daemon/tests/testsuite/limits.rs
+++ b/crates/daemon/tests/testsuite/limits.rs
@@ -36,9 +36,10 @@
     let (_, newest) = tokio::sync::watch::channel(None);
     let (_, view) = tokio::sync::watch::channel(Default::default());
     let own = id::Incarnation::from_u64(1);
-    let pull: config::Pull = std::sync::Arc::new(|_, _| Box::pin(std::future::pending()));
-    let follow = handle.clone().follow(config::Peers { own, view, newest, pull });
-    let face = operators::Face::new(
+    let request_changes: config::RequestChanges =
+        std::sync::Arc::new(|_, _| Box::pin(std::future::pending()));
+    let follow = handle.clone().follow(config::Peers { own, view, newest, request_changes });
+    let api = operators::Api::new(
         settings.operators.limits.clone(),
         operators::Identity { host: id::HostName::new("h"), incarnation: own },
         operators::Tokens::parse(&settings.operators.token_hashes).unwrap(),
@@ -51,7 +52,7 @@
     let both = async { tokio::join!(keeper.run(), follow) };
     // Neither future ends by itself; the test checks that neither panics.
     let _ = tokio::time::timeout(short_time, both).await;
-    drop(face);
+    drop(api);
 }
 
 proptest! {
--- a/crates/daemon/tests/testsuite/members/views.rs
+++ b/crates/daemon/tests/testsuite/members/views.rs
@@ -131,7 +131,7 @@
     kernel.block_on(async {
         let nodes = nodes::start(&kernel, 2).await;
         nodes[1].configure(3);
-        let mut newest = nodes[0].members.newest();
+        let mut newest = nodes[0].members.newest_version();
         let announced = newest.wait_for(|newest| newest.is_some_and(|newest| newest.version == 3));
         let announced =
             tokio::time::timeout(nodes::LONG, announced).await.unwrap().unwrap().unwrap();
--- a/crates/daemon/tests/testsuite/orders.rs
+++ b/crates/daemon/tests/testsuite/orders.rs
@@ -9,7 +9,7 @@
 
 use testbed::{engine, kv, operators, relay, switch};
 use tokio::{sync::watch, task};
-use trefoildyke_daemon::{operators as face, orders};
+use trefoildyke_daemon::{operators as api, orders};
 use trefoildyke_decide::{config, members, orders as decisions};
 use trefoildyke_types::{id, resource};
 use trefoildyke_wire::{http, platform};
@@ -135,8 +135,8 @@
             .send_replace(sync::Arc::new(config::Snapshot::from_resources(version, resources)));
     }
 
-    async fn ended(&self, generation: u64) -> orders::Ended {
-        wait_for(async || self.handle.ended(&key(generation)).await.ok().flatten()).await
+    async fn record(&self, generation: u64) -> orders::OrderRecord {
+        wait_for(async || self.handle.record(&key(generation)).await.ok().flatten()).await
     }
 
     async fn stop(mut self) {
@@ -169,16 +169,16 @@
     let engine = start_engine(true).await;
     let daemon = Daemon::start(kv.address(), 1, settings());
     daemon.configure(1, vec![endpoint(engine.address(), true), order(1)]);
-    assert_eq!(daemon.ended(1).await.outcome, decisions::Outcome::Done);
+    assert_eq!(daemon.record(1).await.outcome, decisions::Outcome::Done);
     // Another daemon finds the record of the order, and carries out only the next order.
     daemon.stop().await;
     let next = Daemon::start(kv.address(), 2, settings());
     next.configure(2, vec![endpoint(engine.address(), true), order(2)]);
-    let second = next.ended(2).await;
+    let second = next.record(2).await;
     assert_eq!(executed(&engine), ["role/1", "role/2"]);
     assert!(engine.ledger().orders[0].fence < second.fence);
     // The record of the order that the configuration no longer contains is deleted.
-    wait_for(async || next.handle.ended(&key(1)).await.ok().filter(Option::is_none)).await;
+    wait_for(async || next.handle.record(&key(1)).await.ok().filter(Option::is_none)).await;
     next.stop().await;
 }
 
@@ -187,7 +187,7 @@
     let kv = kv::serve(kv::Settings::default()).await.unwrap();
     let daemon = Daemon::start(kv.address(), 1, settings());
     daemon.configure(1, vec![order(1)]);
-    let outcome = daemon.ended(1).await.outcome;
+    let outcome = daemon.record(1).await.outcome;
     assert!(matches!(outcome, decisions::Outcome::Failed(_)), "{outcome:?}");
     daemon.stop().await;
 }
@@ -223,9 +223,9 @@
     let resources =
         |generation| vec![endpoint(engine.address(), checks_fencing), order(generation)];
     new.configure(1, resources(1));
-    new.ended(1).await;
+    new.record(1).await;
     new.configure(2, resources(2));
-    new.ended(2).await;
+    new.record(2).await;
     tokio::time::sleep_until((paused + Duration::from_secs(5)).into()).await;
     relay.restore();
     former.pause.set(false);
@@ -267,7 +267,7 @@
     for daemon in &daemons {
         daemon.configure(1, vec![endpoint(engine.address(), false), order(1)]);
     }
-    daemons[0].ended(1).await;
+    daemons[0].record(1).await;
     // Once the lease is free and stays free, both services have seen the record of the order.
     let client = platform::KvClient::new(platform::KvSettings::new(kv.address()));
     wait_for(async || client.get("orders/holder").await.ok()?.entry.is_none().then_some(())).await;
@@ -285,11 +285,11 @@
     let daemon = Daemon::start(server.kv.address(), 1, settings());
     let resources = vec![endpoint(engine.address(), true), order(1)];
     daemon.configure(1, resources.clone());
-    daemon.ended(1).await;
+    daemon.record(1).await;
     let set = config::ChangeSet { puts: with_pool(resources), deletions: vec![] };
     let accepted = server.handle.write(&set).await.unwrap();
     let (in_force, live) = (accepted.version(), 1);
-    server.progress.send_replace(face::Progress { in_force, settled: 0, live });
+    server.progress.send_replace(api::Progress { in_force, settled: 0, live });
     let phase = async |path: &str| {
         let reply = server.call("GET", path, b"").await.unwrap();
         http::parse::<serde_json::Value>(&reply).unwrap()
@@ -338,7 +338,7 @@
     let long_ttl = orders::Settings { ttl_ms: 600_000, ..settings() };
     let daemon = Daemon::start(proxy.address(), 1, long_ttl);
     daemon.configure(1, vec![endpoint(engine.address(), true), order(1)]);
-    assert_eq!(daemon.ended(1).await.outcome, decisions::Outcome::Done);
+    assert_eq!(daemon.record(1).await.outcome, decisions::Outcome::Done);
     assert_eq!(executed(&engine), ["role/1"]);
     daemon.stop().await;
 }
@@ -353,7 +353,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(executed(&engine).is_empty());
     kv.set_mode(switch::Mode::new(switch::ModeKind::Ok));
-    daemon.ended(1).await;
+    daemon.record(1).await;
     assert_eq!(executed(&engine), ["role/1"]);
     daemon.stop().await;
 }
--- a/crates/decide/src/endpoints/endpoint_states.rs
+++ b/crates/decide/src/endpoints/endpoint_states.rs
@@ -89,15 +89,15 @@
         inputs
     }
 
-    /// Applies a reading of the platform's list that was started at `begun`.
+    /// Applies a reading of the platform's list that was started at `started`.
     pub fn set_hosts(
         &mut self,
         now: Timestamp,
-        begun: Timestamp,
+        started: Timestamp,
         hosts: sync::Arc<endpoints::Hosts>,
     ) -> Vec<schedule::Input> {
         let mut inputs = self.detect_pause(now);
-        if self.since.is_none_or(|since| begun >= since) || self.hosts.is_some() {
+        if self.since.is_none_or(|since| started >= since) || self.hosts.is_some() {
             self.hosts = Some(hosts);
         }
         inputs.extend(self.tick(now));
--- a/testbed/src/measure/endpoints.rs
+++ b/testbed/src/measure/endpoints.rs
@@ -195,7 +195,7 @@
         let before = measure::busy_time();
         for _ in 0..READINGS {
             let list: message::HostList = serde_json::from_slice(&text)?;
-            std::hint::black_box(hosts::Reading::new(tokio::time::Instant::now(), list));
+            std::hint::black_box(hosts::HostsRead::new(tokio::time::Instant::now(), list));
         }
         let busy = measure::busy_time().saturating_sub(before) / READINGS;
         table.add_row([
--- a/testbed/src/member/start.rs
+++ b/testbed/src/member/start.rs
@@ -68,14 +68,14 @@
         let known = members.clone();
         let find = move |incarnation| known.address(incarnation);
         let settings = peers::Settings::default();
-        let (peers, lost) =
+        let (peers, failed_peers) =
             peers::new(identity.clone(), self.limits, settings, scope.clone(), find);
         let mut methods = peer::Methods::default();
         members.serve_peers(&peers, &mut methods);
         let (versions, own) = watch::channel(members::Versions::default());
         let sources = service::Sources {
             peers: peers.clone(),
-            lost,
+            failed_peers,
             versions: own,
             hosts: None,
             seeds: self.seeds,
--- a/testbed/src/operators/mod.rs
+++ b/testbed/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! A daemon's operator face over a key-value stand-in, without the rest of the daemon.
+//! A daemon's operator API over a key-value stand-in, without the rest of the daemon.
 
 use std::{io, sync, time};
 
@@ -28,13 +28,13 @@
     pub http: http::Server,
     /// The configuration.
     pub handle: service::Handle,
-    /// What the face shows of the other daemons.
+    /// What the API shows of the other daemons.
     pub progress: watch::Sender<operators::Progress>,
     _keeper: task::JoinSet<()>,
 }
 
 impl Server {
-    /// Starts the face, which shows three events of its own making.
+    /// Starts the API, which shows three events of its own making.
     ///
     /// # Errors
     ///
@@ -48,7 +48,7 @@
         let mut tasks = task::JoinSet::new();
         tasks.spawn(keeper.run());
         let (progress, seen) = watch::channel(operators::Progress::default());
-        let face = sync::Arc::new(operators::Face::new(
+        let api = sync::Arc::new(operators::Api::new(
             settings,
             operators::Identity {
                 host: id::HostName::new("entry-1"),
@@ -61,7 +61,7 @@
             sync::Arc::new(events),
         ));
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-        let answer = move |call| sync::Arc::clone(&face).answer(call);
+        let answer = move |call| sync::Arc::clone(&api).answer(call);
         let http = http::Server::start(listener, http::ServerLimits::default(), answer)?;
         Ok(Self { kv, http, handle, progress, _keeper: tasks })
     }
