--- a/crates/daemon/src/callers/face.rs
+++ b/crates/daemon/src/callers/api.rs
@@ -22,7 +22,7 @@
 type Reply = Result<hyper::Response<http::Body>, request::Refusal>;
 
 /// The HTTP API for callers.
-pub struct Face {
+pub struct Api {
     settings: settings::Callers,
     config: config::Handle,
     coordinator: Coordinator,
@@ -30,7 +30,7 @@
     streams: kernel::Scope,
 }
 
-impl Face {
+impl Api {
     /// Creates the API, which uses the configuration and the coordinator; `streams` runs the stream tasks.
     pub const fn new(
         settings: settings::Callers,
@@ -100,7 +100,7 @@
     async fn refuse_unconfigured(&self, body: body::Incoming) -> request::Refusal {
         let limit = self.settings.body_bytes;
         let spec = http::read_json(body, limit, self.settings.body_wait()).await;
-        not_ready(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_second()))
+        not_ready(spec.map_or(true, |spec| coordinate::Arrival::new(&spec).may_be_retry()))
     }
 
     fn authorize(&self, headers: &hyper::HeaderMap) -> Result<id::AccountName, request::Refusal> {
@@ -149,8 +149,8 @@
 }
 
 /// Returns the refusal of a daemon that has no configuration yet.
-fn not_ready(may_be_second: bool) -> request::Refusal {
-    let kind = match may_be_second {
+fn not_ready(may_be_retry: bool) -> request::Refusal {
+    let kind = match may_be_retry {
         true => request::RefusalKind::OutcomeUnknown,
         false => request::RefusalKind::NotRun,
     };
--- a/crates/daemon/src/config/learner.rs
+++ b/crates/daemon/src/config/learner.rs
@@ -70,7 +70,8 @@
                 request.after = resources.last().map(trefoildyke_types::resource::Resource::key);
                 all_resources.extend(resources);
                 if !more {
-                    let snapshot = sync::Arc::new(config::Snapshot::of(version, all_resources));
+                    let snapshot =
+                        sync::Arc::new(config::Snapshot::from_resources(version, all_resources));
                     return handle.replace(snapshot).await.map(|_| ());
                 }
             }
@@ -83,7 +84,7 @@
     source: id::Incarnation,
     request: peer::ChangesRequest,
 ) -> Result<storage::Answer, error::Error> {
-    let changes = (peers.pull)(source, request).await?;
+    let changes = (peers.request_changes)(source, request).await?;
     let text: String = changes.body.decode().map_err(|error| protocol_error(&error))?;
     serde_json::from_str(&text).map_err(|error| protocol_error(&error))
 }
--- a/crates/daemon/src/orders/service.rs
+++ b/crates/daemon/src/orders/service.rs
@@ -95,9 +95,9 @@
                 log::info!("acquired the orders lease with fencing token {}", acquired.token);
                 self.lease = Some(acquired.lease);
                 self.delete_obsolete(&acquired);
-                let lease::AcquiredLease { token, begun, version, ended, .. } = acquired;
+                let lease::AcquiredLease { token, call_start, version, ended, .. } = acquired;
                 let ended = ended.into_keys().collect();
-                self.step(decisions::Input::Acquired { token, begun, version, ended });
+                self.step(decisions::Input::Acquired { token, call_start, version, ended });
             }
         }
     }
@@ -137,17 +137,17 @@
                     decisions::Input::Tick
                 });
             }
-            decisions::Action::Send { order, fence, stop } => {
+            decisions::Action::Send { order, fence, send_deadline } => {
                 log::info!("sending order {} to {}", order.key, order.endpoint);
                 let address = self.address(&order.endpoint);
                 let wait = self.settings.order_time();
-                self.push(send::send(clock, address, order, fence, stop, wait));
+                self.push(send::send(clock, address, order, fence, send_deadline, wait));
             }
             decisions::Action::Store { key, outcome, fence } => {
                 log::info!("order {key} ended: {outcome:?}");
                 let version = self.version(&key);
-                let ended = orders::Ended { key, version, outcome, fence };
-                self.push(async move { lease::store_record(&kv, &ended).await });
+                let record = orders::OrderRecord { key, version, outcome, fence };
+                self.push(async move { lease::store_record(&kv, &record).await });
             }
         }
     }
@@ -165,8 +165,8 @@
         }
         let wanted: collections::BTreeSet<_> =
             orders_of(&snapshot).into_iter().map(|order| order.key).collect();
-        for (key, (ended, revision)) in &acquired.ended {
-            if ended.version <= acquired.version && !wanted.contains(key) {
+        for (key, (record, revision)) in &acquired.ended {
+            if record.version <= acquired.version && !wanted.contains(key) {
                 let (kv, key, revision) = (self.kv.clone(), key.clone(), *revision);
                 self.push(async move {
                     lease::delete_record(&kv, &key, revision).await;
--- a/crates/spec/src/stops/world.rs
+++ b/crates/spec/src/stops/world.rs
@@ -99,7 +99,7 @@
         let loaded = bounds.guards.load && schedules && (waits || !self.running.is_empty());
         let host: id::HostName = "own".into();
         let reporter = stops::Daemon { host: &host, is_busy: dispatched };
-        stops::settled(&snapshot(own.version), reporter, |_| dispatched || loaded)
+        stops::settled_version(&snapshot(own.version), reporter, |_| dispatched || loaded)
     }
 }
 
@@ -120,7 +120,7 @@
     if version >= STOP {
         resources.push(accepted("s", stop, STOP));
     }
-    config::Snapshot::of(version, resources)
+    config::Snapshot::from_resources(version, resources)
 }
 
 fn accepted(name: &str, spec: resource::Spec, resource_version: u64) -> resource::Resource {
