--- a/crates/cli/src/report/statistics.rs
+++ b/crates/cli/src/report/statistics.rs
@@ -13,11 +13,11 @@
     pub ranks: Vec<Group>,
     /// Requests by route and fifth of the expected size, the smallest first.
     pub sizes: Vec<Group>,
-    /// Requests by third of the endpoints, the fastest first.
+    /// Requests by the speed of their endpoint, in thirds of the endpoints, the fastest first.
     pub speeds: Vec<Group>,
-    /// How much later than predicted first events came, in milliseconds (0 for those that did not).
+    /// How much later than predicted first events came, in milliseconds; 0 for those that were not late.
     pub first_late: report::Quantiles,
-    /// How much sooner than predicted first events came, in milliseconds (0 for those that did not).
+    /// How much sooner than predicted first events came, in milliseconds; 0 for those that were not early.
     pub first_soon: report::Quantiles,
     /// Events per expected token of an answer, in hundredths of the median ratio.
     pub length: report::Quantiles,
--- a/crates/daemon/src/clock/mod.rs
+++ b/crates/daemon/src/clock/mod.rs
@@ -32,7 +32,7 @@
         self.origin + time::Duration::from_micros(at.as_micros())
     }
 
-    /// Returns the current time of both clocks, the wall clock in milliseconds elapsed the Unix epoch.
+    /// Returns the current time of both clocks, the wall clock in milliseconds since the Unix epoch.
     pub fn now(&self) -> coordinate::Now {
         coordinate::Now { monotonic: self.monotonic(), unix_ms: unix_us() / 1_000 }
     }
--- a/crates/daemon/src/config/handle.rs
+++ b/crates/daemon/src/config/handle.rs
@@ -36,8 +36,8 @@
     /// # Errors
     ///
     /// Fails in the same cases as [`config::apply`], with `Unavailable` if the key-value service does not
-    /// answer and the change cannot take effect, and with `Unsure` if the change may have taken or may
-    /// still take effect.
+    /// answer and the change cannot take effect, and with `Unsure` if the change may have taken effect or
+    /// may still do so.
     pub async fn write(
         &self,
         set: &config::ChangeSet,
--- a/crates/daemon/src/config/learner.rs
+++ b/crates/daemon/src/config/learner.rs
@@ -15,8 +15,8 @@
 
 /// Reads changes from the peer that announced the highest version.
 ///
-/// A daemon without a version asks a random peer, without waiting for an announcement. Otherwise no random
-/// peer is asked, because that would over time open a connection to every peer.
+/// A daemon without a version asks a random peer, without waiting for an announcement. A daemon with a
+/// version never does, because over time it would open a connection to every peer.
 pub(crate) async fn run(handle: Handle, mut peers: Peers) {
     let mut poll = time::interval(handle.settings.poll());
     poll.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
--- a/crates/daemon/src/config/store.rs
+++ b/crates/daemon/src/config/store.rs
@@ -52,7 +52,7 @@
         StoredRoot::new(reply.entry.as_ref())
     }
 
-    /// Returns the snapshot of a root, based on `current` if the root's tail reaches back to its version.
+    /// Returns the snapshot of a root, based on `current` if the tail has every change after `current`.
     ///
     /// Also returns the root, which is a later one if the chunks of the given root have been replaced.
     pub(crate) async fn load(
--- a/crates/daemon/src/config/watcher.rs
+++ b/crates/daemon/src/config/watcher.rs
@@ -33,7 +33,7 @@
 
 /// Reads the root until the service answers, and returns the revision from which to watch.
 ///
-/// Returns 0 without an answer if a version is known from a peer and this daemon is not a watcher.
+/// Stops after a failed read and returns 0 if a peer has provided a version and this daemon is no watcher.
 async fn read_initial(handle: &Handle, peers: &mut Peers) -> u64 {
     loop {
         match read(handle).await {
@@ -107,7 +107,7 @@
     Ok(reply.revision)
 }
 
-/// Adopts a root, or restores the current snapshot in the service if the root is older than it.
+/// Adopts a root, or restores the current snapshot in the service if the root is older than the snapshot.
 async fn adopt(handle: &Handle, stored: store::StoredRoot) -> Result<(), error::Error> {
     let current = handle.snapshot();
     if stored.root.version < current.version() {
@@ -120,7 +120,8 @@
     handle.replace(snapshot).await.map(|_| ())
 }
 
-/// Restores the current snapshot if a new read returns an older root, because an event may be outdated.
+/// Reads the root again, because an event may be outdated, and restores the current snapshot in the service
+/// if the root is still older.
 async fn restore(handle: &Handle) -> Result<(), error::Error> {
     let stored = handle.store.read().await?;
     let current = handle.snapshot();
--- a/crates/daemon/src/config/writer.rs
+++ b/crates/daemon/src/config/writer.rs
@@ -13,7 +13,7 @@
 const BACKOFF: (time::Duration, time::Duration) =
     (time::Duration::from_millis(20), time::Duration::from_millis(640));
 
-/// How long a change is retried after transient errors while no sent write of it can take effect.
+/// How long a change is retried after transient errors if no write that was sent can still take effect.
 ///
 /// A single read can fail although the service works, because the service may just have closed the
 /// connection.
@@ -24,7 +24,7 @@
     handle: &'a Handle,
     set: &'a config::ChangeSet,
     nonce: id::Nonce,
-    /// The version on which the last sent write is based; `None` if no sent write can take effect.
+    /// The base version of the last write that may take effect; `None` if there is no such write.
     pending_base: Option<u64>,
 }
 
@@ -32,7 +32,7 @@
 
 /// Makes a change and returns once its outcome is known or the time limit has passed.
 ///
-/// After the time limit, the error is `Unsure` if the change may have taken or may still take effect,
+/// After the time limit, the error is `Unsure` if the change may have taken effect or may still do so,
 /// otherwise `Unavailable`.
 pub(crate) async fn write(
     handle: &Handle,
--- a/crates/daemon/src/coordinate/buffer.rs
+++ b/crates/daemon/src/coordinate/buffer.rs
@@ -9,7 +9,8 @@
     Whole,
     /// The request was refused.
     Refused(request::Refusal),
-    /// Every caller disconnected before a dispatch, or the refusal may be false for a retry that joined.
+    /// Every caller disconnected before a dispatch, or a retry joined for which a `not_run` refusal may be
+    /// untrue.
     Abandoned,
 }
 
@@ -68,10 +69,10 @@
         self.is_maybe_retry
     }
 
-    /// Ends the answer with a refusal; `was_maybe_retry` is the request's `is_maybe_retry` when it was decided.
+    /// Ends the answer with a refusal; `was_maybe_retry` is `is_maybe_retry` as of the decision to refuse.
     ///
-    /// A `not_run` refusal that was decided before a retry joined may be false for the retry. The answer is
-    /// then abandoned: all readers get no end of the answer and have to ask again.
+    /// A `not_run` refusal that was decided before a retry joined may be untrue for the retry. The answer is
+    /// then abandoned: it breaks off for all readers, which have to ask again.
     pub(super) fn refuse(&mut self, refusal: request::Refusal, was_maybe_retry: bool) {
         let may_be_false = refusal.kind == request::RefusalKind::NotRun && self.is_maybe_retry;
         self.finish(if may_be_false && !was_maybe_retry {
--- a/crates/daemon/src/coordinate/driver.rs
+++ b/crates/daemon/src/coordinate/driver.rs
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Returns the input for an operation that ended: an answer that ends without its last chunk is lost.
+    /// Clears the operation, which ended without the last chunk of the answer, and returns `StreamLost`.
     fn stream_ended(&mut self) -> Input {
         self.operation = operations::none();
         Input::StreamLost
@@ -136,7 +136,7 @@
         self.run_actions(actions);
     }
 
-    /// Turns a permit into an unusable one if this daemon knows that it must not be used.
+    /// Marks a new permit as unusable if this daemon is isolated or the endpoint accepts no new work.
     fn check_permit(&mut self, input: Input) -> Input {
         match input {
             Input::Permit(permit) if !self.is_usable(&permit.endpoint) => {
--- a/crates/daemon/src/coordinate/entry.rs
+++ b/crates/daemon/src/coordinate/entry.rs
@@ -59,7 +59,7 @@
         self.lock().is_maybe_retry()
     }
 
-    /// Ends the answer with a refusal; `was_maybe_retry` is the request's `is_maybe_retry` when it was decided.
+    /// Ends the answer with a refusal; `was_maybe_retry` is `is_maybe_retry` as of the decision to refuse.
     pub(super) fn refuse(&self, refusal: request::Refusal, was_maybe_retry: bool) {
         self.lock().refuse(refusal, was_maybe_retry);
         self.notify();
--- a/crates/daemon/src/coordinate/isolation.rs
+++ b/crates/daemon/src/coordinate/isolation.rs
@@ -56,7 +56,8 @@
 impl IsolationMonitor {
     /// Checks periodically whether this daemon is isolated. Never returns; drop the future to cancel it.
     ///
-    /// The key-value service is read only while no peer is alive, so that a large group puts no load on it.
+    /// The key-value service is probed only while no peer is alive, so that a large cluster puts no load
+    /// on it.
     pub async fn run(self) {
         let mut last_reached = tokio::time::Instant::now();
         let period = self.timeout / 4;
--- a/crates/daemon/src/coordinate/operations.rs
+++ b/crates/daemon/src/coordinate/operations.rs
@@ -13,7 +13,7 @@
     endpoints,
 };
 
-/// How long the followed coordinator waits for a chunk before it answers a read.
+/// How long the coordinator of an answer waits for a chunk before it answers a read call of a follower.
 const READ_WAIT: time::Duration = time::Duration::from_millis(1_000);
 /// How much longer than [`READ_WAIT`] the call may take.
 const READ_MARGIN: time::Duration = time::Duration::from_millis(2_000);
--- a/crates/daemon/src/coordinate/resume.rs
+++ b/crates/daemon/src/coordinate/resume.rs
@@ -10,7 +10,7 @@
     coordinate::{entry, handle, job},
 };
 
-/// The deadline of a request that is only resumed: one hour (3,600 s) after the call.
+/// The deadline of a request that is only resumed: one hour after the call that resumes it.
 const RESUME_DEADLINE: time::Duration = time::Duration::from_secs(3_600);
 
 impl handle::Handle {
--- a/crates/daemon/src/intents/availability.rs
+++ b/crates/daemon/src/intents/availability.rs
@@ -22,7 +22,7 @@
         Self { kv, started: time::Instant::now(), last_peer_success }
     }
 
-    /// Stores the current time as that of the last write or look-up by a peer for this daemon.
+    /// Records that a peer has just written or looked up a record for this daemon.
     pub(super) fn record_peer_success(&self) {
         *self.lock() = Some(time::Instant::now());
     }
@@ -30,7 +30,8 @@
     /// Returns whether records can be written, by this daemon or through a peer.
     ///
     /// Until its first answer or failed call, the key-value service counts as down since this daemon
-    /// started. A success of a peer after the service went down makes it count as up.
+    /// started. If a peer has written or looked up a record for this daemon since the service went down,
+    /// the service counts as up.
     pub(super) fn state(&self) -> coordinate::ServiceState {
         let health = self.kv.health();
         let since = match (health.answered, health.failing) {
--- a/crates/daemon/src/intents/forwarder.rs
+++ b/crates/daemon/src/intents/forwarder.rs
@@ -16,7 +16,7 @@
 /// The maximum number of calls in flight.
 const MAX_CALLS: usize = 64;
 
-/// The maximum number of records in one call, about 75 KB, and in the calls of one batch together.
+/// The maximum number of records that are collected at a time, and thus of one call; about 75 KB.
 const MAX_RECORDS: usize = 500;
 
 /// A record and the member that is to write it.
--- a/crates/daemon/src/operators/routes.rs
+++ b/crates/daemon/src/operators/routes.rs
@@ -156,15 +156,15 @@
             _ = progress.wait_for(|p| p.in_force > in_force || p.settled > settled) => {}
         }
     };
-    // After a timeout, the answer has the same form, without anything new.
+    // A timeout is no error: the answer then reports the unchanged state.
     let _ = time::timeout(time::Duration::from_millis(wait_ms), changed).await;
     Ok(reply::ok(&watched(api, after)))
 }
 
 /// Returns the resources accepted after a version, oldest first.
 ///
-/// Above the page size, the answer ends with the version in which the page size is exceeded. It contains
-/// all resources of that version, so it can be longer than a page.
+/// If more resources than a page holds were accepted, the answer ends with the version of the first one
+/// beyond the page. It contains all resources of that version, so it is longer than a page.
 fn watched(api: &Api, after: u64) -> message::Watched {
     let snapshot = api.config.snapshot();
     let progress = *api.progress.borrow();
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -14,7 +14,7 @@
     pub live: u32,
 }
 
-/// What is known of the end of an order.
+/// Whether and how an order has ended, as far as it can be read.
 pub(crate) enum OrderEnd {
     /// The order has not ended.
     Open,
--- a/crates/daemon/src/settings/coordinate.rs
+++ b/crates/daemon/src/settings/coordinate.rs
@@ -8,7 +8,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Coordinate {
-    /// The maximum number of requests in progress; from 1 to 1,000,000. More are refused as not run.
+    /// The maximum number of requests in progress; from 1 to 1,000,000. Further ones are refused, as not run
+    /// or, if they may be retries, with an unknown outcome.
     pub requests: usize,
     /// How long a finished answer can be read, in milliseconds.
     pub keep_ms: u64,
--- a/crates/daemon/src/timeline/handle.rs
+++ b/crates/daemon/src/timeline/handle.rs
@@ -10,7 +10,7 @@
 /// A ring buffer of events.
 #[derive(Debug)]
 struct Ring {
-    /// Consecutive events, the oldest dropped; at most `limit`.
+    /// The last events, at most `limit`, in order of their sequence numbers.
     events: collections::VecDeque<event::Event>,
     limit: usize,
     /// The sequence number of the last event; the first event has 1.
@@ -65,7 +65,7 @@
         ring.events.push_back(event);
     }
 
-    /// Returns at most `limit` events whose sequence number is greater than `after`, the oldest dropped.
+    /// Returns the first `limit` events after the sequence number `after`, of those that are still kept.
     pub fn read(&self, after: u64, limit: usize) -> message::EventPage {
         let ring = self.lock();
         let dropped = ring.seq - ring.events.len() as u64;
--- a/crates/decide/src/gateway/deadlines.rs
+++ b/crates/decide/src/gateway/deadlines.rs
@@ -8,7 +8,7 @@
 /// The deadlines of first-time callers differ by up to a seventh. A caller that was refused has
 /// waited, and then stayed away for a quarter of its remaining time. With a limit close to 1, two
 /// thirds of the callers of a site that had grown were taken for returning callers: they counted as
-/// late on arrival and waited behind nobody until their patience ended.
+/// late on arrival and were kept waiting, ahead of the other late requests, until they left.
 const RETURNING_FRACTION: f64 = 0.8;
 
 /// The longest deadline that callers have declared, by route.
--- a/crates/decide/src/gateway/mesh/hubs.rs
+++ b/crates/decide/src/gateway/mesh/hubs.rs
@@ -32,8 +32,8 @@
 /// over if the first is lost.
 const KEEPER_COUNT: usize = 2;
 
-/// How long a daemon that queries a hub about the store every 450 ms may be silent before it counts
-/// as not heard; exceeded once two queries in a row are lost.
+/// How long a daemon that queries a hub about the store every 450 ms may be silent before the hub
+/// no longer counts it as heard; two lost queries in a row exceed this time.
 const CLIENT_TIMEOUT: time::Duration = time::Duration::from_millis(1_300);
 
 /// How long after its start a daemon may not have heard of other daemons that are alive: they first
--- a/crates/decide/src/gateway/mesh/placing.rs
+++ b/crates/decide/src/gateway/mesh/placing.rs
@@ -16,7 +16,7 @@
     Able,
 }
 
-/// How long after its start a daemon is asked for places only if there is no other daemon: until it
+/// How long after its start a daemon is asked for slots only if there is no other daemon: until it
 /// has read the list of endpoints and the others have reported what they have sent.
 pub(super) const NEW_AGE: time::Duration = time::Duration::from_millis(2_500);
 
--- a/crates/decide/src/gateway/message/load.rs
+++ b/crates/decide/src/gateway/message/load.rs
@@ -17,7 +17,7 @@
     /// Whether the report is full: the sender has no work at endpoints that are not listed.
     /// Otherwise nothing has changed at endpoints that are not listed.
     pub is_full: bool,
-    /// The last place granted to the sender by the receiver that is counted in this report.
+    /// The number of the last slot granted by the receiver to the sender that this report includes.
     pub placed: u64,
     /// The endpoints at which the sender has work or has made observations.
     pub endpoints: Vec<EndpointLoad>,
--- a/crates/decide/src/gateway/message/mod.rs
+++ b/crates/decide/src/gateway/message/mod.rs
@@ -25,11 +25,11 @@
     Digest(Digest),
     /// The sender's load, for the daemon that places the service's requests.
     Load(LoadReport),
-    /// Asks for a place.
+    /// Asks for a slot.
     Ask(Ask),
     /// Replies to [`Message::Ask`].
     Placed(Placed),
-    /// Withdraws a [`Message::Ask`], because the request no longer needs a place.
+    /// Withdraws a [`Message::Ask`], because the request no longer needs a slot.
     Withdraw {
         /// The service.
         service: id::PoolName,
--- a/crates/decide/src/gateway/message/placing.rs
+++ b/crates/decide/src/gateway/message/placing.rs
@@ -1,4 +1,4 @@
-//! Requests to another daemon for a place at an endpoint.
+//! Requests to another daemon for a slot at an endpoint.
 
 use std::time;
 
@@ -6,7 +6,7 @@
 
 use crate::gateway;
 
-/// Asks for a place at an endpoint, or reports that a request still waits for one.
+/// Asks for a slot at an endpoint, or reports that a request still waits for one.
 ///
 /// All times are in milliseconds from now, because the clocks of the hosts differ.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -44,11 +44,11 @@
 /// The result of an [`Ask`].
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum PlaceReply {
-    /// The request has a place.
+    /// The request was granted a slot.
     Granted {
         /// The endpoint.
         endpoint: id::EndpointName,
-        /// The number of places that the sender has granted to the receiver so far.
+        /// The number of slots that the sender has granted to the receiver so far.
         given: u64,
         /// The number of prompt tokens that the endpoint is assumed to process for the request.
         unread: u32,
@@ -63,8 +63,8 @@
     },
     /// The request is queued.
     Queued {
-        /// The time in milliseconds after which the caller should come back if the request gets no
-        /// place.
+        /// The time in milliseconds after which the caller should retry if the request gets no
+        /// slot.
         retry_ms: u32,
     },
     /// The request would wait too long.
@@ -77,7 +77,7 @@
 }
 
 impl Ask {
-    /// Creates a message that asks for a place for a request of `service`.
+    /// Creates a message that asks for a slot for a request of `service`.
     pub fn new(
         service: id::PoolName,
         number: u64,
--- a/crates/decide/src/gateway/pool/averages.rs
+++ b/crates/decide/src/gateway/pool/averages.rs
@@ -12,7 +12,7 @@
 /// Averages over the endpoints of a pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Averages {
-    /// The part of the answers that failed.
+    /// The fraction of the answers that failed.
     pub(super) failure_rate: f64,
     /// The time between two tokens without a prompt being read in between, in milliseconds.
     pub(super) base_step_ms: f64,
--- a/crates/decide/src/gateway/pool/endpoint.rs
+++ b/crates/decide/src/gateway/pool/endpoint.rs
@@ -39,7 +39,7 @@
     base_step: moving_average::LowerQuartile,
     /// The time to a first event, in units of `base_step`, by thousands of prompt tokens.
     first_event: linear_regression::LinearRegression,
-    /// The part of the answers that failed or broke off.
+    /// The fraction of the answers that failed or broke off.
     failure_rate: moving_average::MovingAverage,
     /// The request rate limit that the endpoint reports in its answers.
     pub(super) rate_limit: rate_limit::RateLimit,
--- a/crates/decide/src/gateway/pool/mod.rs
+++ b/crates/decide/src/gateway/pool/mod.rs
@@ -129,8 +129,8 @@
         self.recent_ranks.record(now, request.rank);
         let service_time = self.expected_service_time(request.prompt, request.expected_tokens);
         let position = self.queue.position(now, ticket, &request, service_time);
-        // A free slot may be given past the queue: the waiting requests could not use it, such as long
-        // prompts that wait for fast endpoints, or they would have been granted it already.
+        // The request may get a free slot ahead of the queue: the waiting requests cannot use that slot (for
+        // example, long prompts that wait for fast endpoints), or it would have been granted to them already.
         if let Some(grant) = self.grant(now, position.class(), &request) {
             return Admission::Granted(grant);
         }
--- a/crates/decide/src/gateway/pool/params.rs
+++ b/crates/decide/src/gateway/pool/params.rs
@@ -18,11 +18,11 @@
     /// The weight of the time to read again what a prompt evicts from an endpoint's prefix cache; 0.5.
     #[serde(rename = "displaced_weight")]
     pub eviction_weight: f64,
-    /// The part of the longest unnoticed pause of a stream that reading prompts at an endpoint may take;
+    /// The fraction of the longest unnoticed pause of a stream that reading prompts at an endpoint may take;
     /// 0.6.
     pub pause_part: f64,
-    /// The weight, for each stream at the endpoint, of the time by which reading prompts exceeds that part;
-    /// 2.
+    /// The weight, for each stream at the endpoint, of the time by which reading prompts exceeds that
+    /// fraction; 2.
     pub pause_weight: f64,
     /// The cost of a slot of an endpoint that is twice as fast as the mean, in milliseconds; 300.
     ///
@@ -35,14 +35,14 @@
     pub zone_ms: f64,
     /// The cost of an answer that is certain to fail, in milliseconds; 3,000.
     pub failure_ms: f64,
-    /// The part of a request's remaining time that its predicted wait may take; 0.7.
+    /// The fraction of a request's remaining time that its predicted wait may take; 0.7.
     pub patience_part: f64,
     /// The number of slots from which a plain endpoint may have one more request queued at it while all
     /// slots are taken; 4.
     pub queue_slots: u32,
-    /// The part of the slots that requests of the last of several ranks leave free; 0.04.
+    /// The fraction of the slots that requests of the last of several ranks leave free; 0.04.
     pub reserve: f64,
-    /// The part of the remaining time that the expected answer may take; 1.
+    /// The fraction of the remaining time that the expected answer may take; 1.
     ///
     /// Callers' estimates are far too high or too low, so a lower value would exclude too many requests.
     pub feasible_part: f64,
--- a/crates/decide/src/gateway/pool/peer_loads.rs
+++ b/crates/decide/src/gateway/pool/peer_loads.rs
@@ -25,10 +25,10 @@
     peers: collections::BTreeMap<net::SocketAddr, Peer>,
 }
 
-/// The result of a report.
+/// The result of applying a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReportOutcome {
-    /// It was ignored, since it is older than another one.
+    /// The report was ignored because it is not newer than the latest one.
     Stale,
     /// It was applied.
     Applied {
--- a/crates/decide/src/gateway/pool/placement.rs
+++ b/crates/decide/src/gateway/pool/placement.rs
@@ -12,7 +12,7 @@
 /// to a second).
 const MAX_CONSIDERED: usize = 100;
 
-/// The failure rate above the average that costs nothing, as a part of the answers.
+/// The failure rate above the average that costs nothing, as a fraction of the answers.
 const TOLERATED_FAILURES: f64 = 0.1;
 
 /// The cost of an endpoint that is suspected to have failed, in milliseconds. It is chosen only if no other
--- a/crates/decide/src/gateway/pool/queue.rs
+++ b/crates/decide/src/gateway/pool/queue.rs
@@ -54,9 +54,10 @@
 /// How much later a request is due for each second that it will hold its slot, in seconds.
 const LENGTH_WEIGHT: f64 = 0.3;
 
-/// The longest such delay: about as long as a request stays in time, so that a long request overtakes short
-/// ones that arrive that much later. With three seconds, the longest tenth of the answers was served less
-/// than half as often as all answers (0.26 against 0.56 in an overload of some seconds).
+/// The most by which a request's length delays its due time: about as long as a request stays in time, so
+/// that a long request overtakes short ones that arrive that much later. With three seconds, the longest
+/// tenth of the answers was served less than half as often as all answers (0.26 against 0.56 in an overload
+/// of some seconds).
 const MAX_LENGTH_DELAY: time::Duration = time::Duration::from_millis(400);
 
 /// The position of a request in the queue.
--- a/crates/decide/src/gateway/pool/request.rs
+++ b/crates/decide/src/gateway/pool/request.rs
@@ -21,7 +21,8 @@
     pub parts: Vec<gateway::PromptPart>,
     /// The expected length of the answer in tokens.
     pub expected_tokens: f64,
-    /// The longest pause of such a stream that callers do not notice; zero if the answer is not a stream.
+    /// The longest pause between two events of a stream that callers do not notice; zero if the answer is not
+    /// a stream.
     pub max_pause: time::Duration,
     /// The time by which the first event should arrive.
     pub objective: Timestamp,
--- a/crates/decide/src/gateway/pool/state.rs
+++ b/crates/decide/src/gateway/pool/state.rs
@@ -13,7 +13,7 @@
     pub others: u32,
     /// The time between two tokens, in milliseconds.
     pub step_ms: f64,
-    /// The part of the answers that failed.
+    /// The fraction of the answers that failed.
     pub failures: f64,
     /// How long the endpoint has been silent while it had requests of this daemon, in milliseconds.
     pub silent_ms: u64,
--- a/crates/decide/src/gateway/rollout/judge.rs
+++ b/crates/decide/src/gateway/rollout/judge.rs
@@ -33,9 +33,9 @@
 ///
 /// This is Wald's sequential probability ratio test: it computes the logarithm of how much likelier
 /// the answers are if an additional fraction of them is bad. The fraction of bad answers at the
-/// version in force is taken from the same time, since look-ups fail now and then in any version
-/// and bursts slow down all versions. A single endpoint may be faulty by itself, so the quarter of
-/// the endpoints with the most evidence against them is excluded.
+/// version in force is taken from the same time, since any version has occasional failures, such as
+/// failed look-ups, and bursts slow down all versions. A single endpoint may be faulty by itself,
+/// so the quarter of the endpoints with the most evidence against them is excluded.
 #[derive(Clone, Debug, Default)]
 pub struct Judge {
     total: Sample,
--- a/crates/decide/src/gateway/rollout/mod.rs
+++ b/crates/decide/src/gateway/rollout/mod.rs
@@ -35,8 +35,8 @@
 /// stopped.
 const ABORT_FRACTION: f64 = 0.9;
 
-/// The fraction of the permitted exposure that is used. The rest covers requests that were given a
-/// place but never arrived.
+/// The fraction of the permitted exposure that is used. The rest covers requests that were granted
+/// a slot but never reached the endpoint.
 const USED_FRACTION: f64 = 0.9;
 
 /// The findings of the daemon that places a service's requests.
--- a/crates/decide/src/schedule/prefix/index.rs
+++ b/crates/decide/src/schedule/prefix/index.rs
@@ -11,9 +11,9 @@
 
 /// Records which endpoints have which prompt prefixes cached.
 ///
-/// A placed prompt's blocks are pending until its first token arrives, then ready, and leave as the
-/// least recently used; cache events correct the entries. Memory is bounded by the sizes of the
-/// caches.
+/// A placed prompt's blocks are pending until its first token arrives, then ready, until they are
+/// evicted as the least recently used; cache events correct the entries. Memory is bounded by the
+/// sizes of the caches.
 #[derive(Clone, Debug)]
 pub(in crate::schedule) struct Index {
     holders: collections::HashMap<u64, Holders>,
--- a/crates/decide/tests/testsuite/gateway/flood.rs
+++ b/crates/decide/tests/testsuite/gateway/flood.rs
@@ -242,8 +242,8 @@
     }
 }
 
-/// Returns whether a span at a daemon contains a moment at the daemon `number`. The span has a start, a
-/// length and a daemon.
+/// Returns whether `ms` is within a span at the daemon `number`. A span consists of its start, its length and
+/// its daemon.
 pub(super) fn is_within((from, length, who): &(u64, u64, usize), number: usize, ms: u64) -> bool {
     *who == number && (*from..from + length).contains(&ms)
 }
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -25,8 +25,8 @@
         self.shared.now()
     }
 
-    /// Puts a version of the configuration in force; `as_of` is when the query was sent by which the source
-    /// confirmed it.
+    /// Puts a version of the configuration in force. `as_of` is the time at which the query was sent whose
+    /// answer confirmed the version.
     ///
     /// A version that is not newer than the one in force is ignored.
     pub fn configure(&self, config: gateway::Config, as_of: Option<Timestamp>) {
@@ -119,8 +119,8 @@
         self.shared.core().mesh.extend_lease(until);
     }
 
-    /// Announces to all known daemons that this one is a member again: its entry had lapsed, and most of
-    /// them read the list of members later.
+    /// Announces to all known daemons that this one is a member again. Its entry had lapsed, and most of the
+    /// daemons would otherwise learn of the new entry only when they next read the list of members.
     pub fn rejoined(&self) {
         self.shared.core().rejoined = Some(self.now());
         self.shared.announce(state::DigestKind { starting: true, ..Default::default() });
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,11 +9,11 @@
 
 use crate::{feed, gossip, ingress, metrics, monitoring, record, settings, state};
 
-/// How long a stopping gateway still serves new requests: until the load balancer has noticed, which probes
-/// once a second and gives up after two missed probes.
+/// How long a stopping gateway still serves new requests: until the load balancer, which probes once a second
+/// and gives up after two missed probes, has noticed the stop.
 const DRAIN_NOTICE: time::Duration = time::Duration::from_millis(3_000);
 
-/// The end of the grace period that is kept free for closing down.
+/// The last part of the grace period, which is reserved for closing connections.
 const CLOSE_TIME: time::Duration = time::Duration::from_millis(250);
 
 /// A running gateway.
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -12,8 +12,8 @@
 /// reachable.
 const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// The shortest interval between two digests with quota usage. What the second keeper of an account's
-/// bucket does not know yet when it takes over stays within the permitted excess.
+/// The shortest interval between two digests with quota usage. When the second keeper of an account's bucket
+/// takes over, it may lack the usage of this interval, which is within the permitted excess.
 const MIN_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// How often hubs send each other a full digest, for those that missed a digest or have just started.
@@ -104,7 +104,7 @@
     match rmp_serde::from_slice(bytes) {
         Ok(gateway::Message::Digest(digest)) => {
             shared.update(|core| core.handle_digest(shared.now(), from, &digest));
-            // A daemon that starts or leaves announces this to all daemons, which must not all reply.
+            // The announcement of a start or a stop goes to all daemons; they must not all reply.
             if !digest.starting && !digest.leaving && shared.core().mesh.is_member(from) {
                 shared.sync_crashes(from, digest.quarantine);
                 shared.sync_rollouts(from, digest.rollouts);
--- a/crates/gateway/src/ingress/call.rs
+++ b/crates/gateway/src/ingress/call.rs
@@ -101,7 +101,8 @@
             returning: !time_spent.is_zero(),
             objective_ms: route.objective_ms,
         });
-        // Before the charge: a request that is not sent to any endpoint costs its account nothing.
+        // Checked before the charge, so that a quarantined request, which is not sent to any endpoint, costs
+        // its account nothing.
         if let Some(after) = shared.quarantined_for(fingerprint) {
             return Err(ingress::Reply::not_run(ingress::QUARANTINED, after));
         }
--- a/crates/gateway/src/ingress/driver/end.rs
+++ b/crates/gateway/src/ingress/driver/end.rs
@@ -14,8 +14,8 @@
     record,
 };
 
-/// The share of the time left that a refused caller is asked to stay away. Callers obey a longer
-/// `Retry-After` only up to a third of the time left.
+/// The share of the time left for which a refused caller is asked to wait before it retries. Callers obey a
+/// `Retry-After` only up to a third of their time left.
 const RETRY_SHARE: std::ops::Range<f64> = 0.24..0.32;
 
 impl Driver {
@@ -114,8 +114,8 @@
 
     /// Returns a random share of the caller's time left, as the `Retry-After` of a refusal.
     ///
-    /// The latency objective is already missed, so it only matters that the caller is served at its single
-    /// retry: bursts last a few seconds, and callers that were refused together must not return together.
+    /// The latency objective is already missed, so the delay only has to make the caller's single retry
+    /// succeed: bursts last a few seconds, and callers that were refused together must not return together.
     fn jitter(&self) -> time::Duration {
         let left = self.call.deadline.since(self.shared.now());
         left.mul_f64(rand::random_range(RETRY_SHARE))
--- a/crates/gateway/src/ingress/driver/mod.rs
+++ b/crates/gateway/src/ingress/driver/mod.rs
@@ -12,18 +12,18 @@
 
 use crate::{ingress, placing, record, relay, state, upstream};
 
-/// The share of the time until its caller leaves that a request waits for a slot; after that, the caller is
-/// asked to retry after the burst.
+/// The share of the time until its caller leaves for which a request waits for a slot; after that, the caller
+/// is asked to retry after the burst.
 const WAIT_SHARE: f64 = 0.75;
 
-/// The same share for a caller that will not retry: only the time for the first event is kept free.
+/// The same share for a caller that will not retry; the rest is left for the first event.
 const LAST_WAIT_SHARE: f64 = 0.92;
 
 /// The `Retry-After` for a caller that came during a stop; its next connection reaches another host.
 const STOPPING_RETRY: time::Duration = time::Duration::from_millis(100);
 
-/// The share of the time left until a stop cuts off requests that the expected answer may take. Callers'
-/// estimates are right at the median only, and answers are often twice as long.
+/// An answer may be expected to take at most this share of the time left until a stop cuts off the remaining
+/// requests. Callers' estimates are only right at the median, and answers are often twice as long.
 const STOPPING_SHARE: f64 = 0.5;
 
 /// Handles one admitted request.
@@ -73,7 +73,7 @@
 pub(crate) enum NoSlot {
     /// It would wait too long.
     Overload(time::Duration),
-    /// It crashes endpoints.
+    /// The request crashes endpoints.
     Quarantined(time::Duration),
 }
 
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -11,8 +11,8 @@
 /// lost, and a small host may be busy for some tens of milliseconds.
 const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(80);
 
-/// The time without a reply after which another daemon is asked, checked each time that the request would
-/// be sent again.
+/// The time without a reply after which another daemon is asked. It is checked whenever the request would be
+/// sent again.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(180);
 
 /// How often a daemon that has queued a request is told that the request still waits.
@@ -85,8 +85,8 @@
     Granted(gateway::Grant),
     Unusable(id::EndpointName),
     Refused(time::Duration),
-    /// The daemon does not reply, cannot place requests or no longer places those of this service; look up
-    /// the placer again.
+    /// The daemon does not reply, cannot place requests or no longer places those of this service, so the
+    /// placer must be looked up again.
     PlacerChanged,
 }
 
--- a/crates/gateway/src/query.rs
+++ b/crates/gateway/src/query.rs
@@ -80,7 +80,8 @@
             let roster = self.shared.core().roster.hash();
             let quarantine = self.shared.core().quarantine.hash();
             let rollouts = self.shared.core().rollouts.hash();
-            // Only the first reader counts this daemon as its client.
+            // Only the first reader is sent the hub mark, so that only one reader counts this daemon as its
+            // client.
             let is_first = index == 0;
             let hub_mark =
                 if is_first { self.shared.core().mesh.reported_hub_hash(sent_at) } else { NO_HUBS };
--- a/crates/gateway/src/record/event.rs
+++ b/crates/gateway/src/record/event.rs
@@ -22,10 +22,10 @@
     pub objective_ms: u64,
 }
 
-/// The measurements of a version on trial.
+/// The measurements of a canary version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct TrialStats {
-    /// Requests that were placed since the trial began.
+    /// Requests that were placed since the canary started.
     pub placed: u64,
     /// Those of them that went to the new version.
     pub tried: u64,
@@ -95,7 +95,7 @@
         routes: usize,
         /// The number of client accounts.
         accounts: usize,
-        /// The age of the version's confirmation, in milliseconds; `None` if others confirm it.
+        /// The age of the version's confirmation, in milliseconds; `None` if it came without one.
         age_ms: Option<u64>,
     },
     /// An endpoint is listed, or its entry has changed.
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -10,7 +10,8 @@
 
 use crate::{ingress, record, state, upstream};
 
-/// After how many gaps of the route's `gap_ms` without an event a resumable stream is resumed elsewhere.
+/// The number of the route's `gap_ms` periods without an event after which a resumable stream is resumed
+/// elsewhere.
 const SILENCE_GAPS: u32 = 4;
 
 /// The shortest time without an event after which a stream is resumed elsewhere; callers leave after two
@@ -48,7 +49,8 @@
     events: gateway::EventSplitter,
     /// When the stream is cut off.
     end: tokio::time::Instant,
-    /// Whether to wait on without a silence limit, because the retry budget did not allow a resumption.
+    /// Whether to keep waiting however long the stream is silent, because the retry budget did not allow a
+    /// resumption.
     ignores_silence: bool,
 }
 
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Returns whether a rollout is known whose stage is not.
+    /// Returns whether a rollout is known only by its order, without any later stage.
     pub fn has_bare_order(&self) -> bool {
         let known = self.shared.core().rollouts.list(self.now());
         known.iter().any(|rollout| rollout.stage == gateway::Stage::Ordered)
--- a/crates/gateway/src/state/core.rs
+++ b/crates/gateway/src/state/core.rs
@@ -54,13 +54,13 @@
 /// How long after its start other daemons do not adopt this daemon's levels of the quotas.
 const QUOTA_WARMUP: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// How long after the last confirmation by the store a version on trial still gets requests: other daemons
-/// may have found it bad. A daemon that receives messages of the others learns of that within half a
-/// second.
+/// How long after the last confirmation by the store a canary version still gets requests. After that, other
+/// daemons may have found it bad without this one knowing; a daemon that receives messages of the others
+/// learns of that within half a second.
 const TRIAL_FRESHNESS: std::time::Duration = std::time::Duration::from_millis(2_500);
 
-/// How long after this daemon wrote its lapsed entry again members that are missing from the list are kept:
-/// two renewals, and a pause after a failed call.
+/// How long members that are missing from the list are kept after this daemon has written its lapsed entry
+/// again: the time of two renewals, and of a pause after a failed call.
 const REJOIN_GRACE: std::time::Duration = std::time::Duration::from_secs(4);
 
 impl Core {
--- a/crates/gateway/src/state/service.rs
+++ b/crates/gateway/src/state/service.rs
@@ -27,7 +27,7 @@
     last_number: u64,
     /// The daemon that got the last load report on this service; `None` if none did.
     last_placer: Option<net::SocketAddr>,
-    /// What the daemons that would take over placing have not been told yet.
+    /// What has been reported to the placer but not yet to the daemons that would take over from it.
     unreported: state::Unreported,
     /// Messages to be sent.
     pub(super) outbox: Vec<OutgoingMessage>,
--- a/crates/gateway/src/state/unreported.rs
+++ b/crates/gateway/src/state/unreported.rs
@@ -5,7 +5,7 @@
 use trefoildyke_decide::gateway;
 use trefoildyke_types::id;
 
-/// Collects what was learned until the daemons that would take over placing are told as well.
+/// Collects what was learned until it is also reported to the daemons that would take over placing.
 #[derive(Debug, Default)]
 pub(super) struct Unreported {
     learned: collections::BTreeMap<id::EndpointName, gateway::Learned>,
--- a/crates/gateway/src/upstream/send.rs
+++ b/crates/gateway/src/upstream/send.rs
@@ -9,7 +9,7 @@
 
 use crate::{names, names::HeaderNames, upstream};
 
-/// The share of the idle timeout stated by an endpoint that is used.
+/// An idle connection is reused only within this share of the idle timeout that the endpoint states.
 const KEEP_ALIVE_SHARE: f64 = 0.6;
 
 /// The head of an endpoint's answer that belongs to this request.
@@ -112,7 +112,7 @@
         return Err(SendError::lost("success without id and seal"));
     }
     if !response.status().is_success() && implies_not_run(response.status()) {
-        // Forwarded, the status would tell the caller that nothing ran.
+        // If it were forwarded, the status would tell the caller that nothing ran.
         return Err(SendError::lost(format!("answered {}", response.status().as_u16())));
     }
     keep_alive(&response, &mut connection);
--- a/crates/trefoildyked/tests/testsuite/configuration/propagation.rs
+++ b/crates/trefoildyked/tests/testsuite/configuration/propagation.rs
@@ -1,4 +1,4 @@
-//! The time until a change is in force on every daemon, and that no daemon reports it too early.
+//! Checks how long a change takes to be in force on every daemon, and that no daemon reports it too early.
 
 use std::time;
 
--- a/crates/trefoildyked/tests/testsuite/crashes.rs
+++ b/crates/trefoildyked/tests/testsuite/crashes.rs
@@ -1,4 +1,4 @@
-//! A request that ends every engine which runs it.
+//! A request that crashes every engine that runs it.
 //!
 //! The gateway recognises such a request and stops sending it. The scheduler of the daemon decides by the
 //! request identifier alone: the same input under a new identifier is a new request and is sent to the next
@@ -11,7 +11,7 @@
 
 use crate::harness::{self, caller};
 
-/// The number of engines that end while they run the request.
+/// The number of engines that are killed while they run the request.
 const ENGINE_ENDS: usize = 3;
 
 /// Sends the request under a new identifier and kills the engine that starts it.
--- a/crates/trefoildyked/tests/testsuite/dispatch_window.rs
+++ b/crates/trefoildyked/tests/testsuite/dispatch_window.rs
@@ -39,9 +39,9 @@
     for _ in 0..kills {
         let daemons: Vec<_> = cluster.daemons.iter().map(|daemon| daemon.callers).collect();
         let callers = Callers::start(8, &daemons);
-        callers.wait_for_more("letters are answered", 10, is_complete).await;
+        callers.wait_for_more("calls are answered", 10, is_complete).await;
         cluster.daemons[0].process.kill();
-        callers.wait_for_more("letters are answered after the kill", 10, is_complete).await;
+        callers.wait_for_more("calls are answered after the kill", 10, is_complete).await;
         let outcomes = callers.finish().await;
         let starts = cluster.start_counts().await;
         outcomes.check("a kill", &starts);
--- a/crates/types/src/resource/status.rs
+++ b/crates/types/src/resource/status.rs
@@ -25,7 +25,7 @@
     pub phase: Phase,
     /// The number of live daemons known to have reported the resource's version.
     ///
-    /// It is `live` once all of them have reported it, and 0 before.
+    /// The value is that of `live` once all of them have reported the version, and 0 before.
     pub reported: u32,
     /// The number of live daemons, as far as the answering daemon knows.
     pub live: u32,
--- a/crates/wire/src/peer/activity.rs
+++ b/crates/wire/src/peer/activity.rs
@@ -6,8 +6,8 @@
 
 /// The calls in flight on a connection and the times of the last frames in both directions.
 ///
-/// The intervals are longer while no call is in flight: with 1,800 daemons, frequent heartbeats on
-/// every idle connection would cost more than all calls.
+/// Heartbeats are sent and expected less often while no call is in flight: with 1,800 daemons, frequent
+/// heartbeats on every idle connection would cost more than all calls.
 #[derive(Debug)]
 pub(crate) struct Activity {
     limits: Limits,
--- a/crates/wire/src/platform/health.rs
+++ b/crates/wire/src/platform/health.rs
@@ -2,7 +2,7 @@
 
 use std::{sync, time};
 
-/// When a service last answered, and since when it has not.
+/// When a service last answered, and since when calls to it have failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     /// When the last answer arrived; a refusal by a rate limit counts as an answer.
--- a/crates/wire/src/platform/hosts_client.rs
+++ b/crates/wire/src/platform/hosts_client.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns when the service last answered, and since when it has not.
+    /// Returns when the service last answered, and since when calls to it have failed.
     pub fn health(&self) -> platform::Health {
         self.health.health()
     }
--- a/crates/wire/src/platform/kv_client.rs
+++ b/crates/wire/src/platform/kv_client.rs
@@ -42,7 +42,7 @@
         self
     }
 
-    /// Returns when the service last answered, and since when it has not.
+    /// Returns when the service last answered, and since when calls to it have failed.
     pub fn health(&self) -> platform::Health {
         self.health.health()
     }
