--- a/crates/daemon/src/peers/handle.rs
+++ b/crates/daemon/src/peers/handle.rs
@@ -57,7 +57,7 @@
     ///
     /// Fails with `NotFound` if the incarnation is not a living member, and with `Unavailable` or
     /// `Unauthorized` if no connection can be opened. After a failure, calls fail at once until
-    /// [`Settings::pause`] has passed.
+    /// [`Settings::backoff`] has passed.
     pub async fn client(&self, incarnation: id::Incarnation) -> Result<Client, error::Error> {
         let slot = self.shared.pool.slot(incarnation);
         let mut slot = slot.lock().await;
