--- a/crates/spec/src/answers/mod.rs
+++ b/crates/spec/src/answers/mod.rs
@@ -1,8 +1,8 @@
-//! Answers: pieces that are lost, come twice, leave a gap or belong to another request.
+//! Model of answers: chunks are lost, duplicated, leave a gap or belong to another request.
 //!
-//! One request was dispatched; its answer has a few tokens. A connection may carry any piece of
-//! this answer or of another request's, and may end, at any time. The caller's side is the
-//! coordinator's own function.
+//! One request was dispatched, and its answer has a few tokens. At any time the connection may deliver
+//! any chunk of this answer or of another request's answer, or may be lost. The coordinator's own
+//! function decides what is delivered to the caller.
 
 use std::fmt;
 
@@ -15,23 +15,23 @@
 const NOW: coordinate::Now =
     coordinate::Now { monotonic: time::Timestamp::ZERO, unix_ms: CREATED_MS };
 
-/// States the size of the model and the guards.
+/// The size of the model and which guards are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The length of the answer in tokens.
     pub tokens: u64,
-    /// Whether a piece's identifier is compared.
+    /// Whether the request id of a chunk is compared.
     pub identifier: bool,
-    /// Whether a piece's offset is compared.
+    /// Whether the offset of a chunk is compared.
     pub offset: bool,
 }
 
-/// Names one step.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A piece comes: whether it is of this request, its first token and the one after its last.
+    /// A chunk arrives: whether it belongs to this request, its first token and the one after its last.
     Piece(bool, u64, u64),
-    /// The connection ends.
+    /// The connection is lost.
     Lose,
 }
 
@@ -45,14 +45,14 @@
     }
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     /// The request.
     pub request: coordinate::RequestState,
-    /// The tokens that the caller has got.
+    /// The tokens that the caller has received.
     pub got: Vec<String>,
-    /// Whether the caller was told that the answer is whole.
+    /// Whether the caller was told that the answer is complete.
     pub whole: bool,
 }
 
@@ -81,7 +81,7 @@
     explore::explore(&World::new(), |world| next(bounds, world), check)
 }
 
-/// Returns the shortest steps to a whole answer.
+/// Returns the shortest sequence of steps to a complete answer.
 pub fn reach_whole(bounds: &Bounds) -> Option<Vec<String>> {
     explore::reach(&World::new(), |world| next(bounds, world), |world| world.whole)
 }
@@ -103,7 +103,7 @@
     found
 }
 
-/// Returns a piece; without a guard it looks like what the request waits for.
+/// Returns a chunk; with a guard disabled, its id or offset is always the one that the request expects.
 fn piece(bounds: &Bounds, world: &World, own: bool, from: u64, to: u64) -> request::Chunk {
     let key = world.request.key();
     let foreign = id::RequestId::chosen(uuid(1));
--- a/crates/spec/src/attempts.rs
+++ b/crates/spec/src/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: an opaque request that is sent to endpoints, whatever becomes of each send.
+//! Model of attempts: an opaque request is sent to endpoints, and each send may end in any way.
 //!
-//! One request is at one gateway. Each send may reach its endpoint or not; what reached it may run
-//! at once, later or never; and the gateway may be told anything that fits. What follows is decided
-//! by the gateway's own function.
+//! One gateway holds one request. Each send may or may not reach its endpoint; a request that reached
+//! it may run at once, later or never; and the gateway may observe any failure consistent with that.
+//! The gateway's own function decides whether to retry.
 
 use std::fmt;
 
@@ -10,14 +10,14 @@
 
 use crate::{explore, invariant::Invariant};
 
-/// States the size of the model and the guards.
+/// The size of the model and which guards are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// How often the request is sent at most.
+    /// The most times that the request is sent.
     pub sends: u32,
-    /// At how many endpoints it may run.
+    /// The most endpoints at which the request may run.
     pub runs: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Whether a send counts as unsent only if no byte of it was written.
     pub unwritten: bool,
@@ -25,21 +25,21 @@
     pub identified: bool,
 }
 
-/// Says what became of the request at one endpoint.
+/// What happened to the request at one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Truth {
-    /// It never arrived, or was rejected.
+    /// The request never arrived, or was rejected.
     Never,
-    /// It has arrived and may still run.
+    /// The request has arrived and may still run.
     Pending,
-    /// It has run.
+    /// The request has run.
     Ran,
 }
 
-/// Names one step.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A send fails in this way; this is what became of the request there.
+    /// A send fails: what happened at the endpoint, and the failure that the gateway observes.
     Fail(Truth, Failure),
     /// A request that was pending runs.
     Run,
@@ -57,13 +57,13 @@
     }
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     attempt: Attempt,
     sends: Vec<Truth>,
     has_budget: bool,
-    /// What the caller was told in the end.
+    /// The final result that the caller was told, if any.
     told: Option<RetryAction>,
 }
 
@@ -72,7 +72,7 @@
     explore::explore(&first(bounds), |world| next(bounds, world), |world| check(bounds, world))
 }
 
-/// Returns the shortest steps to a caller that is told so.
+/// Returns the shortest sequence of steps to a state in which the caller was told `told`.
 pub fn reach(bounds: &Bounds, told: RetryAction) -> Option<Vec<String>> {
     let is_told = |world: &World| world.told == Some(told);
     explore::reach(&first(bounds), |world| next(bounds, world), is_told)
@@ -115,7 +115,7 @@
     found
 }
 
-/// Returns what the gateway may be told of a send that came to this.
+/// Returns the failures that the gateway may observe for a send with this outcome.
 fn possible(bounds: &Bounds, truth: Truth) -> Vec<Failure> {
     let mut possible = vec![Failure::Lost, Failure::Cut];
     if truth == Truth::Never || !bounds.unwritten {
--- a/crates/spec/src/belief.rs
+++ b/crates/spec/src/belief.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes of a key, in steps of time.
+//! A gateway's cached knowledge of a key; time is counted in steps.
 
 use std::time;
 
@@ -7,32 +7,32 @@
 
 use crate::invariant::Invariant;
 
-/// States the length of a model of keys and its times, all in steps.
+/// The length and the times of a model of keys, all in steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// For how long the model runs.
+    /// How long the model runs.
     pub steps: u64,
-    /// After how long a key that was taken away must not work.
+    /// How long after its revocation a key may still work.
     pub bound: u64,
-    /// After how long belief ends.
+    /// How long a confirmation of the configuration stays valid.
     pub horizon: u64,
-    /// For how long the store's watches may miss a change.
+    /// How long the store's watches may miss a change.
     pub deaf: u64,
 }
 
-/// What one gateway believes.
+/// One gateway's knowledge of the key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Belief {
     /// The gateway's clock.
     pub(crate) clock: u64,
-    /// When the configuration was confirmed last, by the gateway's clock.
+    /// When the configuration was last confirmed, by the gateway's clock.
     pub(crate) confirmed: Option<u64>,
     /// Whether the gateway knows the key.
     pub(crate) known: bool,
 }
 
 impl Belief {
-    /// Says whether a request with the key would be served, by the gateway's own function.
+    /// Returns whether the gateway would serve a request with the key, as its own function decides.
     pub(crate) fn serves(&self, times: &Times) -> bool {
         let mut freshness = Freshness::new(time::Duration::from_secs(times.horizon));
         if let Some(confirmed) = self.confirmed {
@@ -43,12 +43,12 @@
 }
 
 impl Times {
-    /// Says whether a watch of the store has heard by `now` that the key was taken away.
+    /// Returns whether a watch of the store has reported the revocation of the key by `now`.
     pub(crate) fn heard(&self, now: u64, revoked: Option<u64>) -> bool {
         revoked.is_some_and(|revoked| now >= revoked + self.deaf)
     }
 
-    /// Names what is broken if `belief` still serves a key for too long after it was taken away.
+    /// Returns the violated invariant if `belief` still serves the key after the bound on revocation.
     pub(crate) fn check(
         &self,
         now: u64,
--- a/crates/spec/src/commits/bounds.rs
+++ b/crates/spec/src/commits/bounds.rs
@@ -1,31 +1,31 @@
-//! What the model of commits includes.
+//! The bounds of the model of commits.
 
 use trefoildyke_decide::intents;
 
-/// By how much the second daemon's clock is behind, in milliseconds.
+/// How far the second daemon's clock is behind, in milliseconds.
 pub(super) const LAG_MS: u64 = 100;
-/// How long identifiers can be used, in milliseconds.
+/// How long request ids stay usable, in milliseconds.
 pub(super) const KEEP_MS: u64 = 1_000;
 
-/// States the size of the model.
+/// The size of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The most commits that each daemon makes for its records.
+    /// The most commits that each daemon attempts for its records.
     pub rounds: u8,
     /// The most writes whose answers are lost.
     pub losses: u8,
-    /// Whether time passes until slots are deleted.
+    /// Whether time passes, so that slots expire and are deleted.
     pub ageing: bool,
-    /// The difference between clocks that the daemons allow for, in milliseconds.
+    /// The clock skew that the daemons allow for, in milliseconds.
     pub skew_ms: u64,
-    /// The bytes at which a part is sealed.
+    /// The size in bytes at which a part is sealed.
     pub limit: usize,
     /// Whether a write compares the revision of its key.
     pub compare: bool,
 }
 
 impl Bounds {
-    /// Creates bounds with parts that are sealed after one record, and every guard.
+    /// Creates bounds with every guard enabled and parts that are sealed after one record.
     pub const fn new() -> Self {
         Self { rounds: 2, losses: 2, ageing: false, skew_ms: LAG_MS, limit: 1, compare: true }
     }
--- a/crates/spec/src/commits/mod.rs
+++ b/crates/spec/src/commits/mod.rs
@@ -1,9 +1,9 @@
-//! Records written in batches by two daemons that both take a bucket for their own.
+//! Model of commits: two daemons that both believe they own a bucket write records in batches.
 //!
-//! Each daemon commits a record for the same request, and one of them another as well. Reads and
-//! writes are delayed, refused or lost with their effect; the daemons' clocks differ; slots are
-//! deleted after the retention. Commits and the retention are the daemon's own functions. The
-//! model of requests takes for granted what is shown here: a record is created at most once.
+//! Each daemon commits a record for the same request, and one of them also commits a second record.
+//! Reads and writes may be delayed or refused, and their answers may be lost. The daemons' clocks
+//! differ, and slots are deleted after the retention. Commits and the retention are the daemon's own
+//! functions. The model of requests assumes what this model checks: a record is created at most once.
 
 mod bounds;
 mod next;
@@ -24,7 +24,7 @@
     explore::explore(&World::new(bounds), |world| next(bounds, world), World::check)
 }
 
-/// Returns the shortest steps to a state that satisfies `goal`.
+/// Returns the shortest sequence of steps to a state that satisfies `goal`.
 pub fn reach(bounds: &Bounds, goal: impl Fn(&World) -> bool) -> Option<Vec<String>> {
     explore::reach(&World::new(bounds), |world| next(bounds, world), goal)
 }
--- a/crates/spec/src/commits/next.rs
+++ b/crates/spec/src/commits/next.rs
@@ -1,17 +1,17 @@
-//! Which steps are possible in a state.
+//! The transition relation: the steps that are possible in a state.
 
 use trefoildyke_decide::intents;
 
 use crate::commits::{Bounds, Late, Owner, Phase, Step, World, owner::CREATED_MS, world::AGES_MS};
 
-/// Collects the steps that are possible in one state.
+/// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
     found: Vec<(Step, World)>,
 }
 
-/// Returns every step that is possible in a state, with the state that it leads to.
+/// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
     let mut steps = Steps { bounds, world, found: vec![] };
     for (number, owner) in world.owners.iter().enumerate() {
--- a/crates/spec/src/commits/owner.rs
+++ b/crates/spec/src/commits/owner.rs
@@ -1,34 +1,34 @@
-//! One daemon that takes the bucket for its own.
+//! One daemon that believes it owns the bucket.
 
 use trefoildyke_decide::intents;
 use trefoildyke_types::{id, request};
 
 use crate::commits::Bounds;
 
-/// When the requests' identifiers were created, in milliseconds since the Unix epoch.
+/// When the request ids were created, in milliseconds since the Unix epoch.
 pub(super) const CREATED_MS: u64 = 1_000_000;
 
-/// Names the phase of a commit.
+/// The phase of a commit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// The next step is to be found out.
+    /// The commit can choose its next step.
     Ready,
-    /// A read or write is on its way to the service.
+    /// A read or write is in flight to the service.
     Asked(intents::Step),
-    /// What became of it is on its way back.
+    /// The result of the read or write is in flight to the daemon.
     Answered(intents::StepResult),
     /// The commit has ended.
     Ended,
 }
 
-/// Holds one daemon with its commit.
+/// One daemon and its commit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Owner {
     /// The commit.
     pub commit: intents::Commit,
-    /// Its phase.
+    /// The phase of the commit.
     pub phase: Phase,
-    /// The commits that may still be made.
+    /// The number of further commits that the daemon may attempt.
     pub rounds: u8,
     /// The records of the commit.
     pub rows: Vec<intents::Row>,
@@ -44,7 +44,8 @@
         Self { commit, phase: Phase::Ready, rounds, rows, unknown: false }
     }
 
-    /// Ends the commit and returns the outcomes; commits again what is unknown, if it still may.
+    /// Ends the commit and returns its outcomes; commits the records with an unknown outcome again while
+    /// rounds remain.
     pub(super) fn finish(&mut self, bounds: &Bounds, now_ms: u64) -> Vec<intents::Outcome> {
         let (cache, outcomes) = self.commit.clone().finish(now_ms);
         let unknown = |(row, outcome): (&intents::Row, &intents::Outcome)| {
--- a/crates/spec/src/commits/steps.rs
+++ b/crates/spec/src/commits/steps.rs
@@ -2,28 +2,28 @@
 
 use std::fmt;
 
-/// Names one step; daemons are given by their number.
+/// A step of the model; daemons are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// A daemon sends a read or a write.
     Ask(usize),
-    /// The service serves it.
+    /// The service handles a daemon's read or write.
     Serve(usize),
-    /// It is refused and changes nothing.
+    /// A daemon's read or write is refused and changes nothing.
     Refuse(usize),
-    /// A write is given up on and may yet take effect.
+    /// A daemon gives up on a write that may still take effect.
     Lose(usize),
-    /// A write that was given up on reaches the service.
+    /// A write that a daemon gave up on reaches the service.
     Late,
     /// The service's answer arrives.
     Answer(usize),
     /// The service's answer is lost.
     LoseAnswer(usize),
-    /// A daemon ends its commit, done or not.
+    /// A daemon ends its commit, complete or not.
     Finish(usize),
-    /// Time passes.
+    /// Time passes until the request ids have this age in milliseconds.
     Grow(u64),
-    /// A daemon whose clock is right deletes the slot.
+    /// The expired slot is deleted by a daemon with an exact clock.
     Delete,
 }
 
--- a/crates/spec/src/commits/world.rs
+++ b/crates/spec/src/commits/world.rs
@@ -14,44 +14,44 @@
     invariant::Invariant,
 };
 
-/// How old the identifiers are as time passes, in milliseconds.
+/// The ages that the request ids go through, in milliseconds.
 pub(super) const AGES_MS: [u64; 4] =
     [0, KEEP_MS + LAG_MS / 2, KEEP_MS + LAG_MS + LAG_MS / 2, KEEP_MS + 3 * LAG_MS];
 
-/// Holds a write that was given up on.
+/// A write that a daemon gave up on and that may still take effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Late {
-    /// The part's index.
+    /// The index of the part.
     pub index: u32,
-    /// The revision that it compares.
+    /// The revision that the write expects.
     pub expected_revision: u64,
-    /// The part.
+    /// The part to write.
     pub part: intents::Part,
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
-    /// The slot's parts in the service.
+    /// The parts of the slot that the service stores, by index.
     pub parts: collections::BTreeMap<u32, intents::Stored>,
-    /// The last revision.
+    /// The revision assigned last.
     pub revision: u64,
-    /// Writes that were given up on.
+    /// The writes that daemons gave up on and that may still take effect.
     pub late: Vec<Late>,
     /// The daemons.
     pub owners: Vec<Owner>,
-    /// How far time has gone.
+    /// The current index into `AGES_MS`.
     pub age: usize,
     /// The answers that may still be lost.
     pub losses: u8,
-    /// Which records were reported as created: the request and the record's mark.
+    /// The records that were reported as created: the request key and the record's nonce.
     pub created: collections::BTreeSet<(id::RequestKey, id::Nonce)>,
-    /// Which records were reported as never to be written.
+    /// The nonces of the records that were reported as never to be written.
     pub denied: collections::BTreeSet<id::Nonce>,
 }
 
 impl World {
-    /// Creates the state in which nothing has happened.
+    /// Creates the initial state.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
             parts: collections::BTreeMap::new(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the invariant that the state breaks, if it breaks one.
+    /// Returns the invariant that the state violates, if any.
     pub fn check(&self) -> Option<Invariant> {
         let mut keys = collections::BTreeSet::new();
         let twice = self.created.iter().any(|(key, _)| !keys.insert(key));
@@ -77,16 +77,17 @@
         came_back.then_some(Invariant::TruthfulRefusal)
     }
 
-    /// Returns the true wall clock, and the clocks of the daemons.
+    /// Returns the exact time, in milliseconds since the Unix epoch.
     pub(super) const fn now_ms(&self) -> u64 {
         CREATED_MS + AGES_MS[self.age]
     }
 
+    /// Returns the time by a daemon's clock, in milliseconds since the Unix epoch.
     pub(super) const fn clock_ms(&self, owner: usize) -> u64 {
         self.now_ms() - if owner == 1 { LAG_MS } else { 0 }
     }
 
-    /// Ends a daemon's commit and takes note of what it reports.
+    /// Ends a daemon's commit and notes the outcomes that it reports.
     pub(super) fn finish(&mut self, bounds: &Bounds, number: usize) {
         let now_ms = self.clock_ms(number);
         let owner = &mut self.owners[number];
--- a/crates/spec/src/configuration/attempt.rs
+++ b/crates/spec/src/configuration/attempt.rs
@@ -1,4 +1,4 @@
-//! One operator's change on its way, as the daemon's writer takes it.
+//! One operator's change in progress, as the daemon's writer handles it.
 
 use std::sync;
 
@@ -7,56 +7,56 @@
 
 use crate::configuration::{Guards, Held, Stored};
 
-/// Says what the operator was told.
+/// The result that the operator was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// The change made this version.
+    /// The change was accepted and created this version.
     Accepted(usize),
-    /// Another change was first, and nothing changed.
+    /// Another change was made first, and this one changed nothing.
     Conflict,
-    /// Nothing changed.
+    /// The change was refused and changed nothing.
     Refused,
-    /// The change may have been or may yet be made.
+    /// The change may have been made or may still be made.
     Unsure,
 }
 
-/// Names the phase of a change.
+/// The phase of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// The root is to be read.
+    /// The root has to be read.
     Start,
     /// The root was read.
     Read(Stored),
-    /// A write is on its way; it compares the revision inside.
+    /// A write is in flight; it takes effect only on the revision that it holds.
     Writing(Stored),
-    /// The service's answer is on its way: whether the write took effect.
+    /// The service's answer to the write is in flight: whether the write took effect.
     Written(Stored, bool),
-    /// The operator has its answer.
+    /// The operator was told the result.
     Told(Verdict),
 }
 
-/// Holds one operator's change at one daemon.
+/// One operator's change at one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// The daemon.
+    /// The daemon that handles the change.
     pub daemon: usize,
-    /// The version of the resource that the operator means to replace.
+    /// The version of the resource that the operator intends to replace.
     pub replaces: u64,
-    /// The version on which the change was last sent; `None` if it can be nowhere.
+    /// The version on which the last write of the change was based; `None` if no such write can take effect.
     pub sent: Option<u64>,
-    /// The phase.
+    /// The phase of the change.
     pub phase: Phase,
 }
 
 impl Attempt {
-    /// Creates the change of an operator who has seen what the daemon holds.
+    /// Creates the change of an operator that has seen the daemon's snapshot.
     pub fn new(daemon: usize, held: &Held) -> Self {
         let seen = held.snapshot.resource(resource::Kind::Tier, TIER);
         let replaces = seen.map_or(0, |seen| seen.resource_version);
         Self { daemon, replaces, sent: None, phase: Phase::Start }
     }
 
-    /// Returns the version that the change made, if the operator was told that it is accepted.
+    /// Returns the version that the change created, if the operator was told that it was accepted.
     pub const fn accepted(&self) -> Option<usize> {
         match self.phase {
             Phase::Told(Verdict::Accepted(version)) => Some(version),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Goes on from the root that was read.
+    /// Continues the change from the root that was read.
     pub(super) fn act(&mut self, guards: Guards, operator: usize, read: &Stored, have: &Held) {
         if let Some(base) = self.sent.filter(|_| guards.nonce) {
             match read.root.outcome(base, nonce(operator)) {
@@ -101,15 +101,15 @@
     }
 }
 
-/// The one resource that the operators race for.
+/// The name of the resource that all operators change.
 const TIER: &str = "t";
 
-/// Returns the mark of an operator's change.
+/// Returns the nonce of an operator's change.
 pub(super) const fn nonce(operator: usize) -> id::Nonce {
     id::Nonce(operator as u64 + 1)
 }
 
-/// Returns what brings back what a daemon holds, if the service has lost it.
+/// Returns the write that restores a daemon's snapshot, if the service holds an older version.
 pub(super) fn write_back(read: &Stored, have: &Held) -> Option<Stored> {
     if read.root.version >= have.snapshot.version() {
         return None;
--- a/crates/spec/src/configuration/mod.rs
+++ b/crates/spec/src/configuration/mod.rs
@@ -1,9 +1,10 @@
-//! Configuration versions: racing operators, lost answers, spread, restarts, a restored service.
+//! Model of configuration versions: racing operators, lost answers, propagation, restarts and a restored
+//! service.
 //!
-//! Every daemon takes operators' changes to one resource, reads the root from the service and
-//! learns from its peers; each of these takes as long as it likes and can fail. A daemon that has
-//! restarted during an outage learns from peers. Writing, settling, adopting and answering peers
-//! are the daemon's own functions.
+//! Every daemon accepts operators' changes to one resource, reads the root from the service and learns
+//! snapshots from its peers; each of these may be delayed for any time and may fail. A daemon that has
+//! restarted during an outage learns from its peers. The daemon's own functions write changes, determine
+//! the outcome of a lost write, adopt snapshots and answer peers.
 
 mod attempt;
 mod bounds;
@@ -24,7 +25,7 @@
     explore::explore(&World::new(bounds), |world| next(bounds, world), World::check)
 }
 
-/// Returns the shortest steps to a state that satisfies `goal`.
+/// Returns the shortest sequence of steps to a state that satisfies `goal`.
 pub fn reach(bounds: &Bounds, goal: impl Fn(&World) -> bool) -> Option<Vec<String>> {
     explore::reach(&World::new(bounds), |world| next(bounds, world), goal)
 }
--- a/crates/spec/src/configuration/next.rs
+++ b/crates/spec/src/configuration/next.rs
@@ -1,4 +1,4 @@
-//! Which steps are possible in a state.
+//! The transition relation: the steps that are possible in a state.
 
 use trefoildyke_decide::config::storage;
 
@@ -6,13 +6,13 @@
     Attempt, Bounds, Guards, Held, Phase, Step, Stored, Verdict, World, attempt,
 };
 
-/// Collects the steps that are possible in one state.
+/// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     world: &'a World,
     found: Vec<(Step, World)>,
 }
 
-/// Returns every step that is possible in a state, with the state that it leads to.
+/// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
     let mut steps = Steps { world, found: vec![] };
     let guards = bounds.guards;
@@ -91,7 +91,7 @@
     }
 
     fn written(&mut self, guards: Guards, operator: usize, write: &Stored, applied: bool) {
-        // A restored root makes no new version; the change itself comes after it.
+        // Restoring the root creates no new version; the change itself is written afterwards.
         let own = write.held.changes.last() == Some(&operator);
         self.add(Step::Written(operator), |world| {
             if !applied || !own {
@@ -173,7 +173,7 @@
     }
 }
 
-/// Takes a write if the root is at the revision that it compares.
+/// Applies a write if the root still has the revision that the write expects; returns whether it did.
 fn apply(guards: Guards, world: &mut World, write: Stored) -> bool {
     if guards.compare && write.revision != world.stored.revision {
         return false;
@@ -183,7 +183,7 @@
     true
 }
 
-/// Puts a snapshot in force, if the daemon's history lets it.
+/// Puts a snapshot in force on a daemon, if the daemon's history accepts it.
 fn adopt(guards: Guards, world: &mut World, daemon: usize, held: Held) {
     let before = &world.daemons[daemon];
     let mut history = storage::History::default();
@@ -196,7 +196,7 @@
     world.daemons[daemon] = held;
 }
 
-/// Starts a daemon anew; the changes that its operators sent to it are unsure.
+/// Restarts a daemon; the outcome of the changes that it was handling becomes unsure.
 fn restart(world: &mut World, daemon: usize) {
     world.restarts -= 1;
     world.daemons[daemon] = Held::default();
--- a/crates/spec/src/configuration/steps.rs
+++ b/crates/spec/src/configuration/steps.rs
@@ -2,20 +2,20 @@
 
 use std::fmt;
 
-/// Names one step; operators and daemons are given by their number.
+/// A step of the model; operators and daemons are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// An operator sends a change to a daemon.
     Send(usize, usize),
     /// The service reads the root for a change.
     Read(usize),
-    /// The change goes one step further on the root that was read.
+    /// The daemon continues the change from the root that was read.
     Act(usize),
-    /// The service takes a write, or answers that the root has changed.
+    /// The service applies a write, or answers that the root has changed.
     Apply(usize),
-    /// A write is given up on and may yet take effect.
+    /// The daemon gives up on a write that may still take effect.
     LoseWrite(usize),
-    /// A write that was given up on reaches the service.
+    /// A write that its daemon gave up on reaches the service.
     LateWrite,
     /// The answer to a write arrives.
     Written(usize),
@@ -25,13 +25,13 @@
     GiveUp(usize),
     /// The service reads the root for a daemon.
     Fetch(usize),
-    /// A daemon adopts what it fetched, or writes back what the service has lost.
+    /// A daemon adopts the root that it fetched, or restores its own snapshot if the service has lost it.
     Adopt(usize),
-    /// A peer answers a daemon.
+    /// A peer sends its snapshot to a daemon.
     Tell(usize, usize),
-    /// A daemon learns what a peer answered.
+    /// A daemon receives a peer's snapshot.
     Learn(usize),
-    /// A daemon restarts and holds nothing.
+    /// A daemon restarts and holds no snapshot.
     Restart(usize),
     /// The service comes back without the configuration.
     Forget,
--- a/crates/spec/src/configuration/world.rs
+++ b/crates/spec/src/configuration/world.rs
@@ -9,14 +9,14 @@
     invariant::Invariant,
 };
 
-/// Holds a snapshot with the operators whose changes made its versions, in order.
+/// A snapshot with the operators whose changes created its versions, in order.
 ///
-/// Two snapshots with the same changes are the same; they are compared by their changes alone.
+/// Two snapshots with the same changes are identical, so equality and hash use the changes alone.
 #[derive(Clone, Debug, Default)]
 pub struct Held {
     /// The snapshot.
     pub snapshot: sync::Arc<config::Snapshot>,
-    /// One operator for each version.
+    /// The operator whose change created each version.
     pub changes: Vec<usize>,
 }
 
@@ -34,14 +34,14 @@
     }
 }
 
-/// Holds what the service stores, and what a read returns.
+/// The configuration as the service stores it and as a read returns it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stored {
     /// The root.
     pub root: sync::Arc<storage::Root>,
     /// Its revision; 0 if there is none.
     pub revision: u64,
-    /// What the root and its chunks hold.
+    /// The snapshot in the root and its chunks.
     pub held: Held,
 }
 
@@ -52,18 +52,18 @@
     }
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     /// What the service stores.
     pub stored: Stored,
-    /// Writes that were given up on, each with the revision that it compares.
+    /// Writes that their daemons gave up on, each with the revision that it expects.
     pub late: Vec<Stored>,
-    /// What is in force on each daemon.
+    /// The snapshot in force on each daemon.
     pub daemons: Vec<Held>,
-    /// The root that was read for each daemon and that it has not yet got.
+    /// The root that the service has read for each daemon but that the daemon has not yet received.
     pub fetched: Vec<Option<Stored>>,
-    /// The answer of a peer that each daemon has not yet got.
+    /// The answer of a peer that each daemon has not yet received.
     pub told: Vec<Option<Held>>,
     /// Each operator's change, once it is sent.
     pub attempts: Vec<Option<Attempt>>,
@@ -73,12 +73,12 @@
     pub restarts: u8,
     /// The answers that may still be lost.
     pub losses: u8,
-    /// Whether the service may still forget.
+    /// Whether the service may still lose the configuration.
     pub forgets: bool,
 }
 
 impl World {
-    /// Creates the state in which nothing has happened.
+    /// Creates the initial state.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
             stored: Stored::default(),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Returns the invariant that the state breaks, if it breaks one.
+    /// Returns the invariant that the state violates, if any.
     pub fn check(&self) -> Option<Invariant> {
         let forked = self.accepted().any(|(operator, version)| {
             let lacks = |held: &Held| held.changes.get(version - 1).is_some_and(|o| *o != operator);
@@ -112,7 +112,7 @@
         (forked || twice || denied || self.reverted).then_some(Invariant::ConfigMonotone)
     }
 
-    /// Returns each operator who was told that nothing changed.
+    /// Returns each operator that was told that its change was not made.
     fn denied(&self) -> impl Iterator<Item = usize> {
         let told = |attempt: &Attempt| {
             matches!(attempt.phase, Phase::Told(Verdict::Conflict | Verdict::Refused))
@@ -121,7 +121,7 @@
         attempts.filter(move |(_, attempt)| attempt.as_ref().is_some_and(told)).map(|one| one.0)
     }
 
-    /// Returns each accepted change with the version that it made.
+    /// Returns the operator of each accepted change with the version that the change created.
     fn accepted(&self) -> impl Iterator<Item = (usize, usize)> {
         let verdict = |(operator, attempt): (usize, &Option<Attempt>)| {
             attempt.as_ref()?.accepted().map(|version| (operator, version))
--- a/crates/spec/src/explore.rs
+++ b/crates/spec/src/explore.rs
@@ -1,24 +1,24 @@
-//! Exhaustive search of a model, breadth first.
+//! Exhaustive breadth-first search of a model's states.
 
 use std::{cell, fmt, hash};
 
 use crate::invariant;
 
-/// Holds the result of a search.
+/// The result of a search.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The number of different states that were reached.
+    /// The number of distinct states that were visited.
     pub states: usize,
-    /// The shortest way to a state that breaks an invariant, if there is one.
+    /// The shortest path to a state that violates an invariant, if there is one.
     pub broken: Option<Counterexample>,
 }
 
-/// Holds the shortest way to a state.
+/// The shortest path to a state that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// The invariant that the last state breaks.
+    /// The invariant that the last state violates.
     pub invariant: invariant::Invariant,
-    /// The steps that lead there.
+    /// The steps of the path, in order.
     pub steps: Vec<String>,
 }
 
@@ -31,10 +31,10 @@
     }
 }
 
-/// Visits every state that can be reached from `first` until one breaks an invariant.
+/// Visits every state reachable from `first` until one violates an invariant.
 ///
-/// `next` returns every step that is possible in a state with the state it leads to; `check` names
-/// the invariant that a state breaks.
+/// `next` returns every step that is possible in a state, with its successor state; `check` returns
+/// the invariant that a state violates.
 pub fn explore<S, L>(
     first: &S,
     next: impl Fn(&S) -> Vec<(L, S)>,
@@ -53,9 +53,11 @@
     Report { states: states.get(), broken }
 }
 
-/// Returns the shortest steps to a state that satisfies `goal`, or `None` if none can be reached.
+/// Returns the shortest sequence of steps to a state that satisfies `goal`, or `None` if no such state
+/// is reachable.
 ///
-/// It shows that a model can reach what it is meant to reach and so is not empty.
+/// Tests use it to show that a model reaches the states it is meant to cover, so that its invariants
+/// do not hold merely because nothing happens.
 pub fn reach<S, L>(
     first: &S,
     next: impl Fn(&S) -> Vec<(L, S)>,
--- a/crates/spec/src/invariant.rs
+++ b/crates/spec/src/invariant.rs
@@ -1,8 +1,9 @@
-//! The invariants by name: the nine of the design, and those for keys, orders to engines and moves to other versions.
+//! The names of the invariants: nine of the design, and those for API keys, orders to engines and
+//! rollouts of versions.
 
 use std::fmt;
 
-/// Names an invariant of the system.
+/// An invariant of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
     /// One request id is sent to endpoints at most once.
@@ -11,25 +12,25 @@
     NonIdempotentRunsOnce,
     /// No higher tier is shed before a lower one.
     TierOrder,
-    /// A caller gets the complete answer to its own id or a refusal.
+    /// A caller gets either the complete answer to its own request id or a refusal.
     WholeOwnAnswer,
-    /// A refusal as `not_run` is true now and later.
+    /// A request refused as `not_run` has not run and never runs later.
     TruthfulRefusal,
-    /// What is leaving gets no new work after the bound.
+    /// An endpoint that is being stopped gets no new work once the bound has passed.
     LeavingGetsNothing,
-    /// A planned stop ends only after all requests in progress.
+    /// A planned stop completes only after all requests in progress have ended.
     PlannedStopCutsNothing,
     /// An accepted configuration is in force everywhere and never reverts.
     ConfigMonotone,
-    /// A request that was given up on is answered at once.
+    /// A request that the daemon has given up on is answered at once.
     FinalAtOnce,
-    /// A key that was taken away stops working within the bound, also where nobody can say so.
+    /// A revoked key stops working within the bound, also on a gateway that cannot learn of the revocation.
     KeysFailClosed,
-    /// No order of a former lease holder takes effect after one of a later holder.
+    /// No order of an earlier lease holder takes effect after an order of a later holder.
     FencedOrders,
-    /// A move to another version is complete or reverted, never one after the other.
+    /// A rollout ends either as complete or as reverted; its final stage never changes to the other.
     OneEnd,
-    /// A move is complete only when nothing runs at the old version.
+    /// A rollout is complete only when no request runs at the old version.
     CompleteCutsNothing,
 }
 
--- a/crates/spec/src/keys.rs
+++ b/crates/spec/src/keys.rs
@@ -1,9 +1,10 @@
-//! Keys: one that is taken away while a gateway is cut off, suspended, restarted or misled.
+//! Model of keys: a key is revoked while a gateway is cut off, suspended, restarted or told stale data.
 //!
-//! One gateway asks one store whether its configuration still holds. Answers may take any time, the
-//! host may be suspended, the process may restart, and the store's watches may be silent for a
-//! moment before their history is dropped. What one gateway tells another is in
-//! [`super::passed_keys`]. Time goes in steps of which the users' bound is `bound`.
+//! One gateway asks one store whether its configuration is still current. Answers may be delayed for
+//! any time, the host may be suspended, the process may restart, and the store's watches may stay
+//! silent for a limited time before their history is dropped. What one gateway tells another is modelled
+//! in [`super::passed_keys`]. Time is counted in steps; a revoked key must stop working within `bound`
+//! steps.
 
 use std::fmt;
 
@@ -12,29 +13,29 @@
     explore,
 };
 
-/// States the times of the model and the guards.
+/// The times of the model and which guards are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The times.
     pub times: Times,
-    /// Whether an answer confirms as of its question, and not as of its arrival.
+    /// Whether an answer confirms the configuration as of the time of the question, not of its arrival.
     pub asked: bool,
-    /// Whether the gateway's clock goes on while the host is suspended.
+    /// Whether the gateway's clock advances while the host is suspended.
     pub counted: bool,
-    /// Whether a restarted gateway believes nothing.
+    /// Whether a gateway forgets what it knows when it restarts.
     pub forgets: bool,
 }
 
-/// Names one step.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Time passes.
     Pass,
     /// Time passes while the host is suspended.
     Suspend,
-    /// The key is taken away; the store has acknowledged it.
+    /// The key is revoked, and the store has acknowledged the revocation.
     Revoke,
-    /// The gateway asks, and the store looks at the key at once.
+    /// The gateway asks, and the store looks up the key at once.
     Ask,
     /// The answer arrives.
     Answer,
@@ -55,16 +56,16 @@
     }
 }
 
-/// Holds an answer that is on its way.
+/// An answer of the store that has not arrived yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OnWay {
-    /// When it was asked, by the gateway's clock.
+    /// When the gateway asked, by its own clock.
     asked: u64,
-    /// Whether the key is there.
+    /// Whether the store's watch still knows the key.
     valid: bool,
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     now: u64,
@@ -79,7 +80,8 @@
     explore::explore(&first(), |world| next(bounds, world), check)
 }
 
-/// Returns the shortest steps to a gateway that refuses the key in time after it was taken away.
+/// Returns the shortest sequence of steps to a gateway that refuses a revoked key of which it has no
+/// news: it still knows the key, but its confirmation has expired.
 pub fn reach_refused(bounds: &Bounds) -> Option<Vec<String>> {
     let is_refused = |world: &World| {
         world.revoked.is_some() && world.gateway.known && !world.gateway.serves(&bounds.times)
@@ -129,7 +131,7 @@
         if bounds.forgets {
             world.gateway = Belief { clock: world.gateway.clock, ..Belief::default() };
         } else {
-            // A belief that was kept without its age.
+            // The restarted gateway keeps its knowledge and treats it as confirmed just now.
             world.gateway.confirmed = world.gateway.confirmed.map(|_| world.gateway.clock);
         }
     });
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,9 +1,9 @@
 //! A small specification of the core protocol, explored exhaustively.
 //!
 //! Each module is one model: a state, the steps that lead from it, and the invariants that must
-//! hold in it. The steps call the same decision functions as the daemon. What the daemon's
-//! surroundings do (delays, losses, deaths, outages) is left free, so a model that holds, holds
-//! whatever they do within the stated bounds.
+//! hold in it. The steps call the same decision functions as the daemon. The daemon's environment
+//! (delays, losses, crashes, outages) is nondeterministic, so an invariant that holds in a model holds
+//! for every behaviour of the environment within the stated bounds.
 
 pub mod answers;
 pub mod attempts;
--- a/crates/spec/src/orders/bounds.rs
+++ b/crates/spec/src/orders/bounds.rs
@@ -1,35 +1,35 @@
-//! What the model of orders includes.
+//! The bounds of the model of orders.
 
 use std::time;
 
 use trefoildyke_decide::orders;
 
-/// States the size of the model; times are in steps of the clock.
+/// The size of the model; times are in steps of the clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// When the model ends.
+    /// The time at which the model ends.
     pub end: u64,
-    /// Whether the engine refuses old fencing tokens.
+    /// Whether the engine rejects fencing tokens older than the newest one it has seen.
     pub checks_fencing: bool,
-    /// The longest pause between a daemon's last look at the clock and the write.
+    /// The longest pause between a daemon's last check of the clock and its write.
     pub pause: u64,
-    /// Whether a daemon looks at the clock once more before it writes.
+    /// Whether a daemon checks the send deadline against the clock once more before it writes.
     pub looks: bool,
     /// How long a lease lasts without renewal.
     pub ttl: u64,
-    /// How long before the lease's end its holder stops.
+    /// How long before the end of the lease its holder stops sending.
     pub clock_margin: u64,
-    /// How long an order can still take effect, as the daemons reckon.
+    /// How long the daemons assume that an order can still take effect.
     pub settle_time: u64,
-    /// How long a new holder waits before its first order.
+    /// How long a new lease holder waits before its first order.
     pub takeover_delay: u64,
 }
 
-/// How long an order really can still take effect after it was written.
+/// How long an order can actually take effect after it was written.
 pub(super) const SETTLE: u64 = 1;
 
 impl Bounds {
-    /// Creates bounds with every guard and an engine that ignores fencing tokens.
+    /// Creates bounds with every guard enabled and an engine that ignores fencing tokens.
     pub const fn new() -> Self {
         Self {
             end: 6,
--- a/crates/spec/src/orders/daemon.rs
+++ b/crates/spec/src/orders/daemon.rs
@@ -5,39 +5,39 @@
 
 use crate::orders::Bounds;
 
-/// The one version of the configuration, which every daemon knows.
+/// The only version of the configuration; every daemon knows it.
 pub(super) const VERSION: u64 = 1;
 
-/// Holds a call to the service.
+/// A call to the service that provides the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Call {
-    /// The lease is asked for; the call began then.
+    /// Requests the lease; holds the time at which the call began.
     Acquire(u64),
-    /// A renewal is asked for; the call began then.
+    /// Requests a renewal of the lease; holds the time at which the call began.
     Renew(u64),
-    /// The answer is on its way.
+    /// The answer is in flight.
     Answer(orders::Input),
 }
 
-/// Holds an order that is being sent.
+/// An order that is being sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Sending {
     /// The order.
     pub key: orders::OrderKey,
     /// The fencing token.
     pub fence: u64,
-    /// From when on it must not be written.
+    /// The time from which the order must not be written any more.
     pub send_deadline: time::Timestamp,
-    /// When the clock was looked at last before the write.
+    /// When the daemon last checked the clock before the write; `None` before it has.
     pub looked: Option<u64>,
 }
 
-/// Holds one daemon.
+/// One daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Daemon {
-    /// Its controller.
+    /// The daemon's controller.
     pub controller: orders::Controller,
-    /// The call that is under way.
+    /// The call in progress.
     pub call: Option<Call>,
     /// The order that is being sent.
     pub sending: Option<Sending>,
@@ -53,7 +53,7 @@
         daemon
     }
 
-    /// Hands an input to the controller and begins what it wants done.
+    /// Passes an input to the controller and starts the actions that it returns.
     pub(super) fn step(&mut self, now: u64, input: orders::Input) {
         for action in self.controller.step(timestamp(now), input) {
             match action {
@@ -63,7 +63,7 @@
                     let key = order.key;
                     self.sending = Some(Sending { key, fence, send_deadline, looked: None });
                 }
-                // There is one version, and taking the lease confirms it.
+                // There is only one version, and acquiring the lease confirms it.
                 orders::Action::Confirm { .. }
                 | orders::Action::Release
                 | orders::Action::Store { .. } => {}
--- a/crates/spec/src/orders/mod.rs
+++ b/crates/spec/src/orders/mod.rs
@@ -1,9 +1,9 @@
-//! Orders to one engine by two daemons that both take themselves for the one to send them.
+//! Model of orders: two daemons that both believe they hold the lease send orders to one engine.
 //!
-//! Time goes in steps. A daemon that takes no step is paused; the lease may end meanwhile. Calls to
-//! the service and orders to the engine take as long as they like, but an order takes effect
-//! within the settle time or never, and between a daemon's last look at the clock and the write
-//! there is at most a stated pause. The controllers are the daemon's own.
+//! Time is counted in steps. A daemon that takes no step is paused, and its lease may expire meanwhile.
+//! Calls to the service and orders to the engine may be delayed for any time, but an order takes effect
+//! within the settle time or never, and the pause between a daemon's last check of the clock and its
+//! write is bounded. The controllers are the daemon's own code.
 
 mod bounds;
 mod daemon;
@@ -24,7 +24,7 @@
     explore::explore(&World::new(bounds), |world| next(bounds, world), World::check)
 }
 
-/// Returns the shortest steps to a state that satisfies `goal`.
+/// Returns the shortest sequence of steps to a state that satisfies `goal`.
 pub fn reach(bounds: &Bounds, goal: impl Fn(&World) -> bool) -> Option<Vec<String>> {
     explore::reach(&World::new(bounds), |world| next(bounds, world), goal)
 }
--- a/crates/spec/src/orders/next.rs
+++ b/crates/spec/src/orders/next.rs
@@ -1,4 +1,4 @@
-//! Which steps are possible in a state.
+//! The transition relation: the steps that are possible in a state.
 
 use std::collections;
 
@@ -8,14 +8,14 @@
     Bounds, Call, Daemon, Lease, Sending, Step, World, bounds::SETTLE, daemon, daemon::timestamp,
 };
 
-/// Collects the steps that are possible in one state.
+/// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
     found: Vec<(Step, World)>,
 }
 
-/// Returns every step that is possible in a state, with the state that it leads to.
+/// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
     let mut steps = Steps { bounds, world, found: vec![] };
     for (number, daemon) in world.daemons.iter().enumerate() {
@@ -33,7 +33,8 @@
         self.found.push((step, world));
     }
 
-    /// The clock goes on only once every order that must have taken effect by now has, or never.
+    /// Advances the clock, unless an order in flight has reached the end of its settle time: such an order
+    /// must first take effect or be lost.
     fn clock(&mut self) {
         let now = self.world.now;
         let waits = self.world.orders.iter().any(|(written, _)| written + SETTLE <= now);
@@ -153,7 +154,7 @@
     world.daemons[daemon].step(now, orders::Input::Sent { key, result });
 }
 
-/// Lets an order take effect, unless the engine checks tokens and has seen a newer one.
+/// Applies an order, unless the engine checks fencing tokens and has seen a newer one.
 fn take_effect(world: &mut World, checks: bool, fence: u64) {
     let newest = world.effects.last().copied().unwrap_or(0);
     if checks && fence < newest {
--- a/crates/spec/src/orders/steps.rs
+++ b/crates/spec/src/orders/steps.rs
@@ -2,28 +2,28 @@
 
 use std::fmt;
 
-/// Names one step; daemons are given by their number.
+/// A step of the model; daemons are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The clock goes on to this time.
+    /// The clock advances to this time.
     Clock(u64),
-    /// A daemon's controller looks at the time.
+    /// A daemon's controller handles a timer tick.
     Tick(usize),
-    /// The service serves a daemon's call.
+    /// The service handles a daemon's call.
     Serve(usize),
     /// A daemon's call fails.
     Fail(usize),
     /// The service's answer arrives.
     Answer(usize),
-    /// A daemon looks at the clock for the last time before it writes the order.
+    /// A daemon checks the clock for the last time before it writes the order.
     Look(usize),
     /// A daemon writes the order.
     Write(usize),
-    /// A daemon finds that it is too late to write.
+    /// A daemon finds that the send deadline has passed and does not write the order.
     Refrain(usize),
-    /// An order reaches the engine; the token is given.
+    /// An order reaches the engine; holds its fencing token.
     Reach(u64),
-    /// An order is lost; the token is given.
+    /// An order is lost; holds its fencing token.
     Lose(u64),
 }
 
--- a/crates/spec/src/orders/world.rs
+++ b/crates/spec/src/orders/world.rs
@@ -5,36 +5,36 @@
     orders::{Bounds, Daemon},
 };
 
-/// Holds the lease as the service has it.
+/// The lease as the service stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// The holder.
+    /// The daemon that holds the lease.
     pub daemon: usize,
     /// The fencing token.
     pub token: u64,
-    /// When it ends.
+    /// When the lease ends.
     pub end: u64,
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
-    /// The time.
+    /// The current time.
     pub now: u64,
-    /// The lease.
+    /// The lease; `None` before the first daemon has acquired it.
     pub lease: Option<Lease>,
-    /// The last fencing token.
+    /// The fencing token issued last.
     pub token: u64,
     /// The daemons.
     pub daemons: Vec<Daemon>,
-    /// Orders under way: when each was written, and its token.
+    /// Orders in flight: when each was written, and its fencing token.
     pub orders: Vec<(u64, u64)>,
-    /// The tokens of the last two orders that took effect, in order.
+    /// The fencing tokens of the last two orders that took effect, oldest first.
     pub effects: Vec<u64>,
 }
 
 impl World {
-    /// Creates the state in which nothing has happened.
+    /// Creates the initial state.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
             now: 0,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the invariant that the state breaks, if it breaks one.
+    /// Returns the invariant that the state violates, if any.
     pub fn check(&self) -> Option<Invariant> {
         let back = self.effects.windows(2).any(|pair| pair[1] < pair[0]);
         back.then_some(Invariant::FencedOrders)
--- a/crates/spec/src/passed_keys.rs
+++ b/crates/spec/src/passed_keys.rs
@@ -1,9 +1,9 @@
-//! Keys at a daemon that does not read the store itself, but asks one that does.
+//! Model of keys at a daemon that does not read the store itself but asks a daemon that does.
 //!
-//! A reader asks the store as in [`super::keys`]; a follower asks the reader, and takes over what the
-//! reader knows with the age that it tells. Either host may be suspended, either process may restart,
-//! and messages may take any time: a question may wait in the socket of a suspended reader, a reply in
-//! that of a suspended follower. Time goes in steps.
+//! A reader asks the store as in [`super::keys`]. A follower asks the reader and adopts the reader's
+//! knowledge together with the age that the reply states. Either host may be suspended, either process
+//! may restart, and messages may be delayed for any time: a question may wait in the socket of a
+//! suspended reader, a reply in that of a suspended follower. Time is counted in steps.
 
 use std::fmt;
 
@@ -12,20 +12,20 @@
     explore,
 };
 
-/// States the times of the model and the guards.
+/// The times of the model and which guards are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The times.
     pub times: Times,
-    /// Whether a reply counts as of the follower's question, and not as of its arrival.
+    /// Whether the age of a reply counts from the follower's question, not from the reply's arrival.
     pub asked: bool,
-    /// Whether a reply tells how old the reader's knowledge is.
+    /// Whether a reply states the age of the reader's knowledge.
     pub aged: bool,
-    /// Whether the daemons' clocks go on while their hosts are suspended.
+    /// Whether the daemons' clocks advance while their hosts are suspended.
     pub counted: bool,
 }
 
-/// Names one step.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Time passes.
@@ -34,7 +34,7 @@
     SuspendReader,
     /// Time passes while the follower's host is suspended.
     SuspendFollower,
-    /// The key is taken away; the store has acknowledged it.
+    /// The key is revoked, and the store has acknowledged the revocation.
     Revoke,
     /// The store confirms the configuration to the reader.
     Confirm,
@@ -74,7 +74,7 @@
     Reply { asked: u64, age: u64, known: bool },
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     now: u64,
@@ -90,7 +90,7 @@
     explore::explore(&first(), |world| next(bounds, world), check)
 }
 
-/// Returns the shortest steps to a follower that serves the key.
+/// Returns the shortest sequence of steps to a follower that serves the key.
 pub fn reach_served(bounds: &Bounds) -> Option<Vec<String>> {
     let is_served = |world: &World| world.follower.serves(&bounds.times);
     explore::reach(&first(), |world| next(bounds, world), is_served)
@@ -120,7 +120,7 @@
             world.message = Some(Message::Question { asked: world.follower.clock });
         }),
         Some(Message::Question { asked }) => {
-            // A reader that knows nothing says nothing; the question is lost.
+            // A reader without a confirmed configuration does not reply; the question is lost.
             add(Step::Reply, &|world| {
                 let age = world.reader.confirmed.map(|confirmed| world.reader.clock - confirmed);
                 let known = world.reader.known;
@@ -131,7 +131,7 @@
         Some(Message::Reply { asked, age, known }) => add(Step::Arrive, &|world| {
             world.message = None;
             let from = if bounds.asked { asked } else { world.follower.clock };
-            // An age that reaches back before the start says nothing of this process.
+            // The confirmation time would lie before the follower's clock began, so the reply is ignored.
             let Some(confirmed) = from.checked_sub(age) else { return };
             world.follower.known = known;
             world.follower.confirmed = world.follower.confirmed.max(Some(confirmed));
@@ -147,7 +147,7 @@
     found
 }
 
-/// Returns the steps in which time passes.
+/// Returns the steps in which time passes, with or without a suspended host.
 fn passing(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
     if world.now >= bounds.times.steps {
         return vec![];
--- a/crates/spec/src/requests/bounds.rs
+++ b/crates/spec/src/requests/bounds.rs
@@ -1,46 +1,46 @@
-//! What the model of requests includes.
+//! The bounds of the model of requests.
 
 use trefoildyke_decide::coordinate;
 
-/// Names a kind of request.
+/// The kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The caller chose the identifier.
+    /// The caller chose the request id.
     Chosen {
-        /// Whether running the request twice does no harm.
+        /// Whether the request may safely run twice.
         idempotent: bool,
     },
-    /// The first daemon issues the identifier.
+    /// The first daemon issues the request id.
     Issued,
 }
 
-/// Switches single guards off, to show that the model needs them.
+/// The guards, each of which can be disabled to show that the model needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     /// The intent is written before the dispatch.
     pub intent: bool,
-    /// A record is own only by its nonce.
+    /// A daemon takes a record for its own only if the nonce is its own.
     pub nonce: bool,
-    /// An issued identifier names its issuer.
+    /// An issued request id names its issuer.
     pub issuer: bool,
-    /// An identifier that is dispatched without a record says so.
+    /// A request id that is dispatched without a record carries a mark that says so.
     pub mark: bool,
-    /// Identifiers are refused by their age.
+    /// Request ids older than the retention are refused.
     pub retention: bool,
     /// The age is checked again when the record is created.
     pub recheck: bool,
-    /// An identifier is closed before a second attempt is refused as not run.
+    /// A request id is closed before a second attempt is refused as not run.
     pub closing: bool,
-    /// A retry that joins a request makes it a possible second attempt.
+    /// A retry that joins a request marks that request as a possible second attempt.
     pub join: bool,
-    /// A refused request is forgotten, not joined.
+    /// A refused request is forgotten, so that a retry does not join it.
     pub forget: bool,
-    /// An expired permit is handed back.
+    /// An expired permit is returned to the scheduler.
     pub expiry: bool,
 }
 
 impl Guards {
-    /// Has every guard on.
+    /// Enables every guard.
     pub const ALL: Self = Self {
         intent: true,
         nonce: true,
@@ -55,7 +55,7 @@
     };
 }
 
-/// States the size of the model.
+/// The size of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The number of daemons.
@@ -64,24 +64,24 @@
     pub attempts: u32,
     /// The most daemons that die.
     pub deaths: usize,
-    /// The most permits that a second scheduler grants without being asked.
+    /// The most unrequested permits that a second scheduler grants.
     pub spare_permits: u8,
     /// The most connections to endpoints that fail before anything was sent.
     pub connects: u8,
-    /// Whether time passes until records are deleted.
+    /// Whether time passes, so that records expire and are deleted.
     pub ageing: bool,
     /// The kind of request.
     pub kind: Kind,
     /// Whether the caller marks retries.
     pub marked: bool,
-    /// Which requests go on in an outage.
+    /// Which requests proceed during an outage of the key-value service.
     pub policy: coordinate::OutagePolicy,
     /// The guards.
     pub guards: Guards,
 }
 
 impl Bounds {
-    /// Creates bounds with every guard and an honest caller that retries once.
+    /// Creates bounds with every guard enabled and a caller that retries once and marks the retry.
     pub const fn new(daemons: usize, kind: Kind) -> Self {
         Self {
             daemons,
--- a/crates/spec/src/requests/effects.rs
+++ b/crates/spec/src/requests/effects.rs
@@ -1,4 +1,5 @@
-//! What one step does to the state: the daemon's own functions decide, the model carries out.
+//! The effects of a step on the state: the daemon's own functions decide, and the model applies the
+//! actions that they return.
 
 use std::mem;
 
@@ -13,7 +14,7 @@
 const PERMIT_MS: u64 = 100;
 const FINGERPRINT: u64 = 1;
 
-/// Lets the caller's request arrive at a daemon.
+/// Delivers the caller's request to a daemon.
 pub(super) fn arrive(bounds: &Bounds, world: &mut World, daemon: usize, up: bool) {
     world.caller.attempts += 1;
     world.caller.at = Some(daemon);
@@ -25,7 +26,7 @@
     }
 }
 
-/// Hands an input to the daemon's request and carries out what it wants done.
+/// Passes an input to the daemon's request and performs the actions that it returns.
 pub(super) fn feed(
     bounds: &Bounds,
     world: &mut World,
@@ -45,7 +46,7 @@
     perform(bounds, world, daemon, actions);
 }
 
-/// Returns the last chunk of a daemon's request.
+/// Returns the last chunk of the answer to a daemon's request, which completes the answer.
 pub(super) fn whole(request: &coordinate::RequestState) -> coordinate::Input {
     coordinate::Input::Chunk(request::Chunk {
         id: request.key().id,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Makes any intent look like the daemon's own.
+/// Replaces the nonce of any intent by the daemon's own, as if the nonce were not compared.
 fn take_as_own(input: coordinate::Input, nonce: id::Nonce) -> coordinate::Input {
     use coordinate::{Input, ReadOutcome, WriteOutcome};
     use request::Record;
@@ -230,7 +231,7 @@
     }
 }
 
-/// Leaves what a daemon has sent to take effect later, or never.
+/// Drops a daemon's operations; writes and requests that it has sent may still take effect later.
 pub(super) fn abandon(world: &mut World, daemon: usize) {
     for operation in mem::take(&mut world.daemon(daemon).operations) {
         match operation {
@@ -241,7 +242,7 @@
     }
 }
 
-/// Leaves a write to take effect later, or never.
+/// Adds a write that may take effect later or never.
 pub(super) fn write_late(world: &mut World, record: request::Record) {
     if !world.late_writes.contains(&record) {
         world.late_writes.push(record);
@@ -249,7 +250,7 @@
     }
 }
 
-/// Leaves a request to reach its endpoint later, or never.
+/// Adds a request that may reach its endpoint later or never.
 pub(super) fn send_late(world: &mut World, endpoint: id::EndpointName) {
     world.late_sends.push(endpoint);
     world.late_sends.sort();
--- a/crates/spec/src/requests/mod.rs
+++ b/crates/spec/src/requests/mod.rs
@@ -1,9 +1,9 @@
-//! Requests: accept, permit, intent, dispatch, answer, retry elsewhere, resume, takeover.
+//! Model of requests: accept, permit, intent, dispatch, answer, retry elsewhere, resume, takeover.
 //!
-//! One request id, a caller that retries at other daemons, two endpoints and the key-value service.
-//! Every message may be delayed for ever, overtaken or lost; a frozen process is one whose steps
-//! are delayed. Any daemon may believe at any time that the service is up or down, so an outage, a
-//! daemon that is cut off alone and a wrong belief are all included.
+//! The model has one request id, a caller that retries at other daemons, two endpoints and the
+//! key-value service. Every message may be delayed for any time, reordered or lost; a frozen process is
+//! one whose steps are delayed. Any daemon may believe at any time that the service is up or down, which
+//! covers an outage, a single daemon that is cut off and a wrong belief.
 
 mod bounds;
 mod effects;
@@ -20,13 +20,13 @@
 
 use crate::{explore, invariant::Invariant};
 
-/// Explores every state within the bounds until one breaks the named invariant.
+/// Explores every state within the bounds until one violates `invariant`.
 pub fn explore_for(bounds: &Bounds, invariant: Invariant) -> explore::Report {
     let check = |world: &World| world.check(bounds).filter(|broken| *broken == invariant);
     explore::explore(&World::new(bounds), |world| next(bounds, world), check)
 }
 
-/// Returns the shortest steps to a state that satisfies `goal`.
+/// Returns the shortest sequence of steps to a state that satisfies `goal`.
 pub fn reach(bounds: &Bounds, goal: impl Fn(&World) -> bool) -> Option<Vec<String>> {
     explore::reach(&World::new(bounds), |world| next(bounds, world), goal)
 }
--- a/crates/spec/src/requests/next.rs
+++ b/crates/spec/src/requests/next.rs
@@ -1,4 +1,4 @@
-//! Which steps are possible in a state.
+//! The transition relation: the steps that are possible in a state.
 
 use trefoildyke_decide::coordinate::{self, Input, ReadOutcome, WriteOutcome};
 use trefoildyke_types::{id, request};
@@ -10,14 +10,14 @@
 
 const ENDPOINTS: [&str; 2] = ["e1", "e2"];
 
-/// Collects the steps that are possible in one state.
+/// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
     found: Vec<(Step, World)>,
 }
 
-/// Returns every step that is possible in a state, with the state that it leads to.
+/// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
     let mut steps = Steps { bounds, world, found: vec![] };
     steps.caller();
@@ -37,7 +37,7 @@
         self.found.push((step, world));
     }
 
-    /// Ends an operation and hands its outcome to the daemon's request.
+    /// Ends an operation and passes its outcome to the daemon's request.
     fn settle(&mut self, step: Step, at: (usize, usize), input: Input, late: bool) {
         let (daemon, number) = at;
         self.add(step, |bounds, world| {
@@ -46,7 +46,7 @@
         });
     }
 
-    /// Replaces an operation by what follows from it.
+    /// Replaces an operation by the one that follows it.
     fn replace(&mut self, step: Step, at: (usize, usize), operation: Operation) {
         let (daemon, number) = at;
         self.add(step, |_, world| world.daemon(daemon).operations[number] = operation);
@@ -65,7 +65,7 @@
             return;
         }
         let attempt = caller.attempts + 1;
-        // The daemons are alike, so the first attempt may as well be at the first.
+        // The daemons are symmetric, so it is enough to send the first attempt to the first daemon.
         let reachable = if attempt == 1 { 1 } else { self.world.daemons.len() };
         for daemon in (0..reachable).filter(|daemon| self.world.daemons[*daemon].alive) {
             for up in [true, false] {
--- a/crates/spec/src/requests/operation.rs
+++ b/crates/spec/src/requests/operation.rs
@@ -1,27 +1,27 @@
-//! What a daemon has begun for a request and what is not settled yet.
+//! The operations of a daemon that are still in progress for a request.
 
 use trefoildyke_decide::coordinate;
 use trefoildyke_types::{id, request};
 
-/// Holds one thing under way between a daemon and another process.
+/// An operation in progress between a daemon and another process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// A permit was asked for.
+    /// The daemon has requested a permit.
     Ask,
-    /// A record is on its way to the key-value service.
+    /// A write of a record is in flight to the key-value service.
     Write(request::Record),
-    /// The service's answer to a write is on its way.
+    /// The service's answer to a write is in flight.
     Written(coordinate::WriteOutcome),
-    /// A read is on its way to the key-value service.
+    /// A read is in flight to the key-value service.
     Read,
-    /// The service's answer to a read is on its way.
+    /// The service's answer to a read is in flight.
     Reading(coordinate::ReadOutcome),
-    /// The request is on its way to an endpoint.
+    /// The request is in flight to an endpoint.
     Send(id::EndpointName),
-    /// The endpoint has the request and the answer is on its way.
+    /// The endpoint has started the request, and the answer is in flight.
     Stream,
-    /// A request for the rest of the answer is on its way to an endpoint.
+    /// A request for the rest of the answer is in flight to an endpoint.
     Resume(id::EndpointName),
-    /// The coordinator is being followed.
+    /// The daemon follows the request at its coordinator.
     Attach(id::Incarnation),
 }
--- a/crates/spec/src/requests/steps.rs
+++ b/crates/spec/src/requests/steps.rs
@@ -2,14 +2,14 @@
 
 use std::fmt;
 
-/// Names one step; daemons and operations are given by their number.
+/// A step of the model; daemons and operations are given by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The caller sends the request, for the first time or again.
     Send {
-        /// The daemon that it reaches.
+        /// The daemon that the request reaches.
         daemon: usize,
-        /// The attempt.
+        /// The number of the attempt, from 1.
         attempt: u32,
         /// Whether the daemon believes that records can be written.
         up: bool,
@@ -18,7 +18,7 @@
     Leave,
     /// A permit arrives.
     Permit(usize, &'static str),
-    /// A permit of a second scheduler arrives.
+    /// An unrequested permit of a second scheduler arrives.
     SparePermit(usize, &'static str),
     /// The scheduler sheds the request.
     Shed(usize),
@@ -26,31 +26,31 @@
     Apply(usize),
     /// A write is refused and never takes effect.
     RefuseWrite(usize),
-    /// The daemon gives up waiting for a write, which may yet take effect.
+    /// The daemon gives up waiting for a write, which may still take effect.
     LoseWrite(usize),
     /// The answer to a write arrives; the permit may have expired.
     Written(usize, bool),
     /// The answer to a write is lost.
     LoseWritten(usize),
-    /// A write that was given up on takes effect.
+    /// A write that its daemon gave up on takes effect.
     LateWrite(usize),
     /// The service reads the record.
     Read(usize),
     /// A read fails.
     FailRead(usize),
-    /// The answer to a read arrives.
+    /// The answer to a read arrives; the permit may have expired.
     Reading(usize, bool),
     /// The endpoint starts the request.
     Start(usize),
-    /// The endpoint cannot be connected.
+    /// The connection to the endpoint fails before anything is sent.
     FailConnect(usize),
     /// A request that its daemon no longer follows starts at an endpoint.
     LateStart,
-    /// The whole answer arrives.
+    /// The complete answer arrives.
     Answer(usize),
     /// The connection to the endpoint is lost.
     LoseStream(usize),
-    /// The endpoint resumes the stream and the whole answer arrives.
+    /// The endpoint resumes the stream, and the complete answer arrives.
     Resume(usize),
     /// The stream cannot be resumed.
     FailResume(usize),
@@ -60,11 +60,11 @@
     FailAttach(usize),
     /// The deadline passes.
     Deadline(usize),
-    /// The daemon notices that the caller is gone.
+    /// The daemon notices that the caller has disconnected.
     CallerGone(usize),
     /// The daemon dies.
     Die(usize),
-    /// Time passes.
+    /// Time passes, and the request id reaches its next age.
     Grow,
 }
 
--- a/crates/spec/src/requests/world.rs
+++ b/crates/spec/src/requests/world.rs
@@ -10,12 +10,12 @@
     requests::{Bounds, Kind, Operation},
 };
 
-/// When the request's identifier was created, in milliseconds since the Unix epoch.
+/// When the request id was created, in milliseconds since the Unix epoch.
 pub(super) const CREATED_MS: u64 = 1_000_000;
-/// How long identifiers can be used in the model, in milliseconds.
+/// How long request ids stay usable in the model, in milliseconds.
 pub(super) const RETENTION_MS: u64 = 1_000;
 
-/// Says how old the identifier is.
+/// The age of the request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Age {
     /// Within the retention.
@@ -24,70 +24,70 @@
     Skewed,
     /// Past the retention by all clocks.
     Old,
-    /// So old that the record is deleted.
+    /// So old that the record has been deleted.
     Deleted,
 }
 
-/// Says what the caller was told in the end.
+/// The final result that the caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Told {
-    /// The whole answer.
+    /// The complete answer.
     Answer,
     /// A refusal.
     Refusal(request::RefusalKind),
 }
 
-/// Holds the caller, who has one attempt open at a time.
+/// The caller, which has at most one attempt open at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Caller {
-    /// The identifier; `None` before the daemon has issued it.
+    /// The request id; `None` before a daemon has issued it.
     pub id: Option<id::RequestId>,
     /// The number of attempts made.
     pub attempts: u32,
-    /// The daemon that the caller is connected to.
+    /// The daemon that the caller is connected to, if any.
     pub at: Option<usize>,
-    /// The final answer.
+    /// The final result; `None` while the caller waits.
     pub told: Option<Told>,
 }
 
-/// Holds one daemon.
+/// One daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Daemon {
-    /// Whether it has not died.
+    /// Whether the daemon is alive.
     pub alive: bool,
-    /// The request, if it came here.
+    /// The request, if it has arrived at this daemon.
     pub request: Option<coordinate::RequestState>,
-    /// What is under way.
+    /// The operations in progress.
     pub operations: Vec<Operation>,
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
-    /// The identifier's age.
+    /// The age of the request id.
     pub age: Age,
     /// The record in the key-value service.
     pub record: Option<request::Record>,
-    /// Writes that their daemons gave up on and that may yet take effect.
+    /// Writes that their daemons gave up on and that may still take effect.
     pub late_writes: Vec<request::Record>,
-    /// Requests under way that their daemons no longer follow.
+    /// Requests in flight to endpoints that their daemons no longer follow.
     pub late_sends: Vec<id::EndpointName>,
-    /// Where the request was started, in order.
+    /// The endpoints that started the request, in order.
     pub started: Vec<id::EndpointName>,
-    /// The daemons, shared between states that differ elsewhere.
+    /// The daemons; states in which a daemon is equal share its allocation.
     pub daemons: Vec<sync::Arc<Daemon>>,
     /// The caller.
     pub caller: Caller,
-    /// The permits that a second scheduler may still grant.
+    /// The number of permits that a second scheduler may still grant.
     pub spare_permits: u8,
-    /// The connections that may still fail.
+    /// The number of connections that may still fail.
     pub connects: u8,
-    /// The next nonce.
+    /// The nonce that the next request gets.
     pub nonce: u64,
 }
 
 impl World {
-    /// Creates the state in which nothing has happened.
+    /// Creates the initial state.
     pub fn new(bounds: &Bounds) -> Self {
         let daemon = sync::Arc::new(Daemon { alive: true, request: None, operations: vec![] });
         let id = match bounds.kind {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns the invariant that the state breaks, if it breaks one.
+    /// Returns the invariant that the state violates, if any.
     pub fn check(&self, bounds: &Bounds) -> Option<Invariant> {
         let not_run = Some(Told::Refusal(request::RefusalKind::NotRun));
         if self.started.len() > 1 {
@@ -126,12 +126,12 @@
         None
     }
 
-    /// Returns a daemon for a change.
+    /// Returns a mutable reference to a daemon; copies the daemon first if other states share it.
     pub(super) fn daemon(&mut self, daemon: usize) -> &mut Daemon {
         sync::Arc::make_mut(&mut self.daemons[daemon])
     }
 
-    /// Returns the wall clock of a daemon.
+    /// Returns the wall clock of a daemon, in milliseconds since the Unix epoch.
     pub(super) fn unix_ms(&self, daemon: usize) -> u64 {
         let old = match self.age {
             Age::Fresh => false,
@@ -147,7 +147,7 @@
     id::Incarnation::from_u64(daemon as u64 + 1)
 }
 
-/// Returns the UUID of the one request.
+/// Returns the UUID of the only request.
 pub(super) fn uuid() -> uuid::Uuid {
     uuid::Builder::from_unix_timestamp_millis(CREATED_MS, &[0; 10]).into_uuid()
 }
--- a/crates/spec/src/rollouts.rs
+++ b/crates/spec/src/rollouts.rs
@@ -1,7 +1,8 @@
-//! Roll-outs: daemons that decide how far a service has moved, and a store that loses answers.
+//! Model of rollouts: daemons decide the stage of a service's rollout, and the store loses answers.
 //!
-//! Every daemon may take itself for the one that decides. Writes may be carried out late or never, answers may be lost, daemons
-//! restart and hear of each other in any order. What follows from what is known is decided by the daemon's own functions.
+//! Any daemon may believe that it is the one that decides. Writes may be applied late or never, answers
+//! may be lost, and daemons restart and learn from each other in any order. The daemon's own functions
+//! decide the next stage.
 
 use std::fmt;
 
@@ -12,7 +13,7 @@
 
 use crate::{explore, invariant::Invariant};
 
-/// States the size of the model and the guards.
+/// The size of the model and which guards are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// How many daemons there are.
@@ -21,38 +22,38 @@
     pub changes: u8,
     /// How many daemons may restart.
     pub restarts: u8,
-    /// Whether a write is carried out only if the record is as its writer knows it.
+    /// Whether a write is applied only if the record still has the revision that its writer read.
     pub compares: bool,
     /// Whether requests are sent.
     pub sends: bool,
-    /// Whether the new version turns bad only while no last step is on its way.
+    /// Whether the new version turns bad only while no write of the stage `Complete` is in flight.
     pub calm_end: bool,
-    /// Whether the last step waits until all daemons have heard that the old version gets nothing more.
+    /// Whether completion waits until all daemons have learned that the old version gets no more requests.
     pub waits: bool,
 }
 
-/// Names one step, most by the place of the daemon that takes it.
+/// A step of the model; most carry the index of the daemon that takes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Reads the order.
+    /// A daemon reads the order to move the service to the new version.
     Order(usize),
-    /// Reads the record.
+    /// A daemon reads the record.
     Read(usize),
-    /// Hears from another one.
+    /// A daemon learns the stage that another daemon knows.
     Hear(usize, usize),
-    /// Writes what follows; the write is on its way.
+    /// A daemon sends the write of the next stage.
     Write(usize),
-    /// The write on its way is carried out.
+    /// The store applies a daemon's write in flight.
     Carry(usize),
-    /// Its writer gets no answer.
+    /// A daemon gets no answer to its write.
     Lose(usize),
-    /// Stops the move at once.
+    /// A daemon stops the rollout without waiting for the store.
     Stop(usize),
-    /// Sends a request to the old version.
+    /// A daemon sends a request to the old version.
     Send(usize),
-    /// That request ends.
+    /// The request at the old version ends.
     End,
-    /// Forgets everything.
+    /// A daemon restarts and forgets everything but its write in flight.
     Restart(usize),
     /// The new version turns bad.
     TurnBad,
@@ -76,31 +77,31 @@
     }
 }
 
-/// Holds what one daemon knows.
+/// What one daemon knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Daemon {
-    /// How far the move is; `None` before it has read the order.
+    /// The stage of the rollout; `None` before the daemon has read the order.
     stage: Option<Stage>,
-    /// The record's revision; `None` before it was read.
+    /// The record's revision; `None` before the daemon has read the record.
     revision: Option<u8>,
-    /// A write on its way: the stage, and the revision that it needs.
+    /// A write in flight: the stage, and the revision that it expects.
     write: Option<(Stage, u8)>,
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     daemons: Vec<Daemon>,
-    /// What the record holds, and its revision.
+    /// The stage in the store's record; `revision` counts the record's changes.
     record: Option<Stage>,
     revision: u8,
     is_bad: bool,
     /// Whether a request runs at the old version.
     runs: bool,
     restarts: u8,
-    /// Whether a final stage was followed by the other one.
+    /// Whether a final stage in the record was replaced by a different stage.
     both: bool,
-    /// Whether a request ran at the old version when the move was complete.
+    /// Whether a request ran at the old version when the rollout was recorded as complete.
     cut: bool,
 }
 
@@ -109,7 +110,7 @@
     explore::explore(&first(bounds), |world| next(bounds, world), check)
 }
 
-/// Returns the shortest steps to a record with this stage.
+/// Returns the shortest sequence of steps to a record with this stage.
 pub fn reach(bounds: &Bounds, stage: Stage) -> Option<Vec<String>> {
     let is_there = |world: &World| world.record == Some(stage);
     explore::reach(&first(bounds), |world| next(bounds, world), is_there)
@@ -144,7 +145,7 @@
     Rollout { service: service(), order: 1, from, to: "new".into(), within_ms: 1, age_ms: 0, stage }
 }
 
-/// Returns what a daemon knows as its own functions hold it.
+/// Returns the daemon's own rollout state for a known stage.
 fn known(stage: Option<Stage>) -> Rollouts {
     let mut known = Rollouts::default();
     known.note_listed(&[&RosterEntry {
@@ -162,7 +163,7 @@
     known
 }
 
-/// Returns what a daemon knows after it has learned a stage.
+/// Returns the stage that a daemon knows after it has learned `new`.
 fn learned(stage: Option<Stage>, new: Option<Stage>) -> Option<Stage> {
     let mut known = known(stage);
     let new: Vec<_> = new.map(rollout).into_iter().collect();
@@ -170,7 +171,7 @@
     known.get(Timestamp::ZERO, &service()).map(|rollout| rollout.stage)
 }
 
-/// Returns what follows for a daemon that decides.
+/// Returns the next stage for a daemon that decides, or `None` if nothing changes.
 fn follows(bounds: &Bounds, world: &World, stage: Option<Stage>) -> Option<Stage> {
     let comparison =
         if world.is_bad { Comparison::Bad { evidence: 10.0 } } else { Comparison::Good };
--- a/crates/spec/src/stops/bounds.rs
+++ b/crates/spec/src/stops/bounds.rs
@@ -1,27 +1,27 @@
-//! What the model of planned stops includes.
+//! The bounds of the model of planned stops.
 
-/// Switches single guards off, to show that the model needs them.
+/// The guards, each of which can be disabled to show that the model needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// A daemon that is cut off for the bound takes no new work and uses no permit.
+    /// A daemon that has been cut off for as long as the bound takes no new work and uses no permit.
     pub isolation: bool,
-    /// A daemon checks the endpoint when a permit comes.
+    /// A daemon checks whether the endpoint takes new work when a permit arrives.
     pub permit: bool,
-    /// A daemon checks the endpoint again right before it dispatches.
+    /// A daemon checks whether the endpoint takes new work again right before it dispatches.
     pub dispatch: bool,
-    /// The endpoint's own report of its load counts.
+    /// The load that the endpoint itself reports delays the settling of the stop.
     pub load: bool,
-    /// The load counts only once the stop is in force on every live daemon.
+    /// A report of no load counts only once the stop is in force on every live daemon.
     pub everywhere: bool,
 }
 
 impl Guards {
-    /// Has every guard on.
+    /// Enables every guard.
     pub const ALL: Self =
         Self { isolation: true, permit: true, dispatch: true, load: true, everywhere: true };
 }
 
-/// States the size of the model.
+/// The size of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The number of daemons; the last is the endpoint's scheduler and does not die.
@@ -35,7 +35,7 @@
 }
 
 impl Bounds {
-    /// Creates bounds with every guard.
+    /// Creates bounds with every guard enabled.
     pub const fn new(daemons: usize) -> Self {
         Self { daemons, deaths: 1, cuts: 1, guards: Guards::ALL }
     }
--- a/crates/spec/src/stops/next.rs
+++ b/crates/spec/src/stops/next.rs
@@ -1,4 +1,4 @@
-//! Which steps are possible in a state.
+//! The transition relation: the steps that are possible in a state.
 
 use trefoildyke_decide::coordinate::{self, Action, Input, Phase, Waiting, WriteOutcome};
 use trefoildyke_types::{id, request, time};
@@ -12,14 +12,14 @@
 const NOW: coordinate::Now =
     coordinate::Now { monotonic: time::Timestamp::ZERO, unix_ms: CREATED_MS };
 
-/// Collects the steps that are possible in one state.
+/// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
     found: Vec<(Step, World)>,
 }
 
-/// Returns every step that is possible in a state, with the state that it leads to.
+/// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
     let mut steps = Steps { bounds, world, found: vec![] };
     if world.stopped {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Ends a request at the endpoint; its daemon, if it lives, has the whole answer.
+/// Ends a request at the endpoint and delivers the complete answer to its daemon.
 fn end(world: &mut World, place: usize) {
     let number = world.running.remove(place);
     let Some(request) = &world.daemons[number].request else { return };
@@ -141,7 +141,7 @@
     feed(world, number, Input::Chunk(chunk));
 }
 
-/// Takes a request without an identifier, if the daemon takes any.
+/// Accepts a request without an id; returns `None` if the daemon refuses it.
 fn start(number: usize, isolated: bool) -> Option<coordinate::RequestState> {
     let own = id::Incarnation::from_u64(number as u64 + 1);
     let arrival =
--- a/crates/spec/src/stops/steps.rs
+++ b/crates/spec/src/stops/steps.rs
@@ -2,14 +2,14 @@
 
 use std::fmt;
 
-/// Names one step; daemons are given by their number.
+/// A step of the model; daemons are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The operator's stop is accepted.
     Accept,
     /// The stop comes into force on a daemon.
     Adopt(usize),
-    /// A daemon is cut off.
+    /// A daemon is cut off from the service and all peers.
     Cut(usize),
     /// The bound passes.
     Bound,
@@ -19,13 +19,13 @@
     Permit(usize),
     /// The answer to the write of the intent arrives.
     Written(usize),
-    /// The endpoint has ended a daemon's request.
+    /// The endpoint finishes a daemon's request.
     End(usize),
     /// A daemon dies.
     Die(usize),
-    /// A daemon reports how far the stops have ended.
+    /// A daemon reports the configuration version up to which all stops have settled.
     Report(usize),
-    /// The stop's status becomes stopped, and the operator takes the endpoint away.
+    /// The status of the stop becomes stopped, and the operator removes the endpoint.
     Stopped,
 }
 
--- a/crates/spec/src/stops/world.rs
+++ b/crates/spec/src/stops/world.rs
@@ -7,45 +7,45 @@
 
 use crate::{invariant::Invariant, stops::Bounds};
 
-/// The version that accepts the stop; the one before it names the endpoint.
+/// The configuration version that contains the stop; the version before it creates the endpoint.
 pub(super) const STOP: u64 = 2;
-/// The endpoint.
+/// The name of the endpoint.
 pub(super) const ENDPOINT: &str = "e";
 
-/// Holds one daemon.
+/// One daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Daemon {
-    /// Whether it has not died.
+    /// Whether the daemon is alive.
     pub alive: bool,
-    /// Whether it is cut off.
+    /// Whether the daemon is cut off from the service and all peers.
     pub cut: bool,
     /// The configuration version in force.
     pub version: u64,
-    /// Its request.
+    /// The daemon's request, once it has arrived.
     pub request: Option<coordinate::RequestState>,
-    /// The version that it has last reported as settled.
+    /// The version that the daemon last reported as settled.
     pub settled: u64,
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     /// Whether the stop was accepted.
     pub accepted: bool,
-    /// Whether the bound has passed since then.
+    /// Whether the bound has passed since the stop was accepted.
     pub passed: bool,
-    /// The daemons, shared between states that differ elsewhere.
+    /// The daemons; states in which a daemon is equal share its allocation.
     pub daemons: Vec<sync::Arc<Daemon>>,
-    /// The daemons whose requests run at the endpoint.
+    /// The daemons whose requests run at the endpoint, by index.
     pub running: Vec<usize>,
     /// Whether a request was dispatched after the bound.
     pub late: bool,
-    /// Whether the operator has taken the endpoint away.
+    /// Whether the operator has removed the endpoint.
     pub stopped: bool,
 }
 
 impl World {
-    /// Creates the state in which nothing has happened.
+    /// Creates the initial state.
     pub fn new(bounds: &Bounds) -> Self {
         let (version, settled) = (STOP - 1, STOP - 1);
         let daemon = Daemon { alive: true, cut: false, version, request: None, settled };
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns the invariant that the state breaks, if it breaks one.
+    /// Returns the invariant that the state violates, if any.
     pub fn check(&self) -> Option<Invariant> {
         if self.late {
             return Some(Invariant::LeavingGetsNothing);
@@ -69,7 +69,7 @@
         cut.then_some(Invariant::PlannedStopCutsNothing)
     }
 
-    /// Returns a daemon for a change.
+    /// Returns a mutable reference to a daemon; copies the daemon first if other states share it.
     pub(super) fn daemon(&mut self, daemon: usize) -> &mut Daemon {
         sync::Arc::make_mut(&mut self.daemons[daemon])
     }
@@ -79,7 +79,7 @@
         bounds.guards.isolation && self.passed && self.daemons[daemon].cut
     }
 
-    /// Returns whether the endpoint takes new work, as far as a daemon knows.
+    /// Returns whether the endpoint takes new work according to what the daemon knows.
     pub(super) fn takes_work(&self, bounds: &Bounds, daemon: usize) -> bool {
         let held = snapshot(self.daemons[daemon].version);
         !held.stops_endpoint(&ENDPOINT.into()) && !self.is_isolated(bounds, daemon)
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns the snapshot of a version.
+/// Returns the configuration snapshot of a version.
 fn snapshot(version: u64) -> config::Snapshot {
     let endpoint = resource::Spec::Endpoint(resource::EndpointSpec {
         pool: "p".into(),
--- a/crates/spec/tests/testsuite/configuration.rs
+++ b/crates/spec/tests/testsuite/configuration.rs
@@ -49,7 +49,7 @@
     insta::assert_snapshot!(counterexample(&Bounds { guards, ..Bounds::new(2, 2) }));
 }
 
-/// What remains: the service itself loses a change that it had confirmed.
+/// A remaining limit: the guards do not help if the service itself loses a change that it has confirmed.
 #[test]
 fn a_service_that_forgets() {
     insta::assert_snapshot!(counterexample(&Bounds { forgets: true, ..Bounds::new(2, 2) }));
--- a/crates/spec/tests/testsuite/keys.rs
+++ b/crates/spec/tests/testsuite/keys.rs
@@ -1,11 +1,11 @@
-//! The model of keys that are taken away.
+//! The model of keys that are revoked.
 
 use trefoildyke_spec::belief::Times;
 use trefoildyke_spec::keys::{Bounds, explore, reach_refused};
 
 use crate::verdict;
 
-/// The users' bound is five steps; a watch may be deaf for less than two.
+/// A revoked key must stop working within five steps; a watch may miss a change for less than two.
 const TIMES: Times = Times { steps: 12, bound: 5, horizon: 4, deaf: 2 };
 
 const ALL: Bounds = Bounds { times: TIMES, asked: true, counted: true, forgets: true };
--- a/crates/spec/tests/testsuite/main.rs
+++ b/crates/spec/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The specification, explored exhaustively.
+//! Tests that explore the models of the specification exhaustively.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests unwrap as tests do")]
 
--- a/crates/spec/tests/testsuite/passed_keys.rs
+++ b/crates/spec/tests/testsuite/passed_keys.rs
@@ -1,11 +1,11 @@
-//! The model of keys at a daemon that asks another one.
+//! The model of keys at a daemon that asks another daemon.
 
 use trefoildyke_spec::belief::Times;
 use trefoildyke_spec::passed_keys::{Bounds, explore, reach_served};
 
 use crate::verdict;
 
-/// The users' bound is five steps; a watch may be deaf for less than two.
+/// A revoked key must stop working within five steps; a watch may miss a change for less than two.
 const TIMES: Times = Times { steps: 9, bound: 5, horizon: 4, deaf: 2 };
 
 const ALL: Bounds = Bounds { times: TIMES, asked: true, aged: true, counted: true };
--- a/crates/spec/tests/testsuite/requests/guards.rs
+++ b/crates/spec/tests/testsuite/requests/guards.rs
@@ -1,4 +1,4 @@
-//! Each guard is needed: without it the model finds a counterexample.
+//! Tests that each safety guard is needed: without it the model finds a counterexample.
 
 use trefoildyke_decide::coordinate;
 use trefoildyke_spec::{
@@ -87,7 +87,7 @@
     insta::assert_snapshot!(counterexample(&bounds, Invariant::TruthfulRefusal));
 }
 
-/// The permit orders and places; it does not make a dispatch safe.
+/// Permits order and place requests; the safety of a dispatch does not depend on their expiry.
 #[test]
 fn the_permits_end_is_no_safety_guard() {
     let guards = Guards { expiry: false, ..Guards::ALL };
@@ -97,7 +97,7 @@
     }
 }
 
-/// What the setting costs that lets chosen ids go on in an outage.
+/// The cost of the policy that lets first attempts under chosen ids proceed during an outage.
 #[test]
 fn first_attempts_under_chosen_ids_in_an_outage() {
     let policy = coordinate::OutagePolicy::FirstAttempts;
@@ -105,7 +105,7 @@
     insta::assert_snapshot!(counterexample(&bounds, Invariant::AtMostOnceDispatch));
 }
 
-/// What a caller loses that does not mark its retries: `not_run` speaks of one attempt only.
+/// For a caller that does not mark its retries, `not_run` covers only one attempt.
 #[test]
 fn a_caller_that_does_not_mark_retries() {
     let bounds = Bounds { marked: false, ..Bounds::new(2, ONCE) };
--- a/crates/spec/tests/testsuite/requests/holds.rs
+++ b/crates/spec/tests/testsuite/requests/holds.rs
@@ -1,4 +1,4 @@
-//! Requests hold their invariants within the bounds.
+//! Tests that the model of requests keeps its invariants within the bounds.
 
 use trefoildyke_spec::requests::{Bounds, Kind, explore};
 
--- a/crates/spec/tests/testsuite/requests/reach.rs
+++ b/crates/spec/tests/testsuite/requests/reach.rs
@@ -1,4 +1,4 @@
-//! The model reaches what it is meant to reach.
+//! Tests that the model reaches the states it is meant to cover.
 
 use trefoildyke_decide::coordinate;
 use trefoildyke_spec::requests::{Bounds, Kind, Operation, Step, Told, World, reach};
@@ -7,7 +7,7 @@
 const ONCE: Kind = Kind::Chosen { idempotent: false };
 
 fn steps(bounds: &Bounds, goal: impl Fn(&World) -> bool) -> String {
-    reach(bounds, goal).expect("the state is out of reach").join("\n")
+    reach(bounds, goal).expect("the goal is unreachable").join("\n")
 }
 
 fn answered(world: &World) -> bool {
@@ -18,7 +18,7 @@
     world.caller.told == Some(Told::Refusal(request::RefusalKind::OutcomeUnknown))
 }
 
-/// Returns whether the record is the one that the daemon's present request wrote.
+/// Returns whether the record was written by the daemon's current request.
 fn recorded_by(world: &World, daemon: usize) -> bool {
     let own = world.daemons[daemon].request.as_ref().map(coordinate::RequestState::nonce);
     let record = world.record.as_ref().map(request::Record::nonce);
--- a/crates/spec/tests/testsuite/requests/walks.rs
+++ b/crates/spec/tests/testsuite/requests/walks.rs
@@ -23,7 +23,7 @@
 
 const KINDS: [Kind; 2] = [Kind::Chosen { idempotent: false }, Kind::Issued];
 
-/// A walk: the bounds and the state that it has come to.
+/// A random walk: its bounds and its current state.
 #[derive(Clone, Debug)]
 struct Walk {
     bounds: Bounds,
@@ -32,7 +32,7 @@
 
 impl ReferenceStateMachine for Walk {
     type State = Self;
-    /// Which of the possible steps is taken, and what it is called.
+    /// The index of the step among the possible steps, and its name.
     type Transition = (usize, String);
 
     fn init_state() -> BoxedStrategy<Self> {
@@ -45,7 +45,7 @@
             .boxed()
     }
 
-    /// Prefers steps that lead on, so that walks go far before the caller has its answer.
+    /// Prefers steps that make progress, so that walks get far before the caller has its answer.
     fn transitions(state: &Self) -> BoxedStrategy<(usize, String)> {
         let steps = next(&state.bounds, &state.world);
         let named = steps.iter().enumerate().map(|(number, (step, _))| (number, step));
@@ -95,7 +95,7 @@
     !grows && !gone.contains(&of(step)) && !ends.map(|step| of(&step(0))).contains(&of(step))
 }
 
-/// The walks can fail: without the nonce one of them finds a second dispatch.
+/// Guards against walks that cannot fail: without the nonce, one of them finds a second dispatch.
 #[test]
 fn find_what_is_missing() {
     let guards = Guards { nonce: false, ..Guards::ALL };
--- a/crates/spec/tests/testsuite/rollouts.rs
+++ b/crates/spec/tests/testsuite/rollouts.rs
@@ -1,4 +1,4 @@
-//! The model of roll-outs.
+//! The model of rollouts.
 
 use trefoildyke_decide::gateway::Stage;
 use trefoildyke_spec::rollouts::{Bounds, explore, reach};
@@ -17,7 +17,8 @@
 
 #[test]
 fn a_move_ends_one_way_and_cuts_nothing_whatever_the_store_loses() {
-    // A daemon that restarts between the last decision and its write may send to the old version.
+    // No requests are sent here: a daemon that restarts between the last decision and its write may still
+    // send requests to the old version.
     let restarting = Bounds { restarts: 1, sends: false, ..TWO };
     for bounds in [TWO, restarting] {
         let report = explore(&bounds);
@@ -35,8 +36,8 @@
     insta::assert_snapshot!(verdict::counterexample(explore(&bounds)));
 }
 
-/// What the model found, and what no order of writes can help: the stop must not wait for the store, which may still carry out
-/// the last step.
+/// A limit that no order of writes removes: a daemon must stop the rollout without waiting for the store,
+/// which may still apply the write of the last stage.
 #[test]
 fn a_version_that_turns_bad_while_the_last_step_is_on_its_way() {
     insta::assert_snapshot!(verdict::counterexample(explore(&Bounds { calm_end: false, ..TWO })));
--- a/crates/spec/tests/testsuite/verdict.rs
+++ b/crates/spec/tests/testsuite/verdict.rs
@@ -1,10 +1,10 @@
-//! What an exploration found, as a test wants it.
+//! Helpers that check the report of an exploration.
 
 use std::{fmt, time};
 
 use trefoildyke_spec::explore::Report;
 
-/// Returns the number of states reached; fails with the trace if one of them breaks an invariant.
+/// Returns the number of states reached; panics with the trace if one of them violates an invariant.
 pub(crate) fn holds<B: fmt::Debug>(bounds: &B, explore: impl Fn(&B) -> Report) -> usize {
     let start = time::Instant::now();
     let report = explore(bounds);
@@ -15,7 +15,7 @@
     report.states
 }
 
-/// Returns the shortest trace to a broken invariant; fails if there is none.
+/// Returns the shortest trace to a violated invariant; panics if there is none.
 pub(crate) fn counterexample(report: Report) -> String {
     report.broken.expect("the model holds without the guard").to_string()
 }
