--- a/crates/spec/src/answers/mod.rs
+++ b/crates/spec/src/answers/mod.rs
@@ -38,9 +38,11 @@
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Piece(true, from, to) => write!(f, "tokens {from} to {to} come"),
-            Self::Piece(false, from, to) => write!(f, "tokens {from} to {to} of another come"),
-            Self::Lose => write!(f, "the connection ends"),
+            Self::Piece(true, from, to) => write!(f, "tokens {from} to {to} arrive"),
+            Self::Piece(false, from, to) => {
+                write!(f, "tokens {from} to {to} of another request arrive")
+            }
+            Self::Lose => write!(f, "the connection is lost"),
         }
     }
 }
@@ -87,20 +89,20 @@
 }
 
 fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut found = vec![];
+    let mut successors = vec![];
     if world.request.is_final() {
-        return found;
+        return successors;
     }
-    found.push((Step::Lose, feed(world, Input::StreamLost)));
+    successors.push((Step::Lose, feed(world, Input::StreamLost)));
     for own in [true, false] {
         for from in 0..bounds.tokens {
             for to in from + 1..=bounds.tokens {
                 let piece = piece(bounds, world, own, from, to);
-                found.push((Step::Piece(own, from, to), feed(world, Input::Chunk(piece))));
+                successors.push((Step::Piece(own, from, to), feed(world, Input::Chunk(piece))));
             }
         }
     }
-    found
+    successors
 }
 
 /// Returns a chunk; with a guard disabled, its id or offset is always the one that the request expects.
--- a/crates/spec/src/attempts.rs
+++ b/crates/spec/src/attempts.rs
@@ -50,8 +50,10 @@
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Fail(truth, failure) => write!(f, "a send is {truth:?} there, told {failure:?}"),
-            Self::Run => f.write_str("what was pending runs"),
+            Self::Fail(truth, failure) => {
+                write!(f, "a send fails as {failure:?}, at the endpoint: {truth:?}")
+            }
+            Self::Run => f.write_str("a pending request runs"),
             Self::Spend => f.write_str("the retry budget is spent"),
         }
     }
@@ -69,16 +71,16 @@
 
 /// Explores every state within the bounds.
 pub fn explore(bounds: &Bounds) -> explore::Report {
-    explore::explore(&first(bounds), |world| next(bounds, world), |world| check(bounds, world))
+    explore::explore(&initial(bounds), |world| next(bounds, world), |world| check(bounds, world))
 }
 
 /// Returns the shortest sequence of steps to a state in which the caller was told `told`.
 pub fn reach(bounds: &Bounds, told: RetryAction) -> Option<Vec<String>> {
     let is_told = |world: &World| world.told == Some(told);
-    explore::reach(&first(bounds), |world| next(bounds, world), is_told)
+    explore::reach(&initial(bounds), |world| next(bounds, world), is_told)
 }
 
-fn first(bounds: &Bounds) -> World {
+fn initial(bounds: &Bounds) -> World {
     let policy = if bounds.idempotent { RetryPolicy::Idempotent } else { RetryPolicy::Never };
     let attempt = Attempt::new(policy, bounds.runs);
     World { attempt, sends: vec![], has_budget: true, told: None }
@@ -93,41 +95,41 @@
 }
 
 fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut found = vec![];
+    let mut successors = vec![];
     if world.has_budget {
         let mut spent = world.clone();
         spent.has_budget = false;
-        found.push((Step::Spend, spent));
+        successors.push((Step::Spend, spent));
     }
     if let Some(place) = world.sends.iter().position(|truth| *truth == Truth::Pending) {
         let mut ran = world.clone();
         ran.sends[place] = Truth::Ran;
-        found.push((Step::Run, ran));
+        successors.push((Step::Run, ran));
     }
     if world.told.is_some() || world.sends.len() as u32 >= bounds.sends {
-        return found;
+        return successors;
     }
     for truth in [Truth::Never, Truth::Pending, Truth::Ran] {
-        for failure in possible(bounds, truth) {
-            found.push((Step::Fail(truth, failure), fail(world, truth, failure)));
+        for failure in possible_failures(bounds, truth) {
+            successors.push((Step::Fail(truth, failure), fail(world, truth, failure)));
         }
     }
-    found
+    successors
 }
 
 /// Returns the failures that the gateway may observe for a send with this outcome.
-fn possible(bounds: &Bounds, truth: Truth) -> Vec<Failure> {
-    let mut possible = vec![Failure::Lost, Failure::Cut];
+fn possible_failures(bounds: &Bounds, truth: Truth) -> Vec<Failure> {
+    let mut failures = vec![Failure::Lost, Failure::Cut];
     if truth == Truth::Never || !bounds.unwritten {
-        possible.push(Failure::NotSent);
+        failures.push(Failure::NotSent);
     }
     if truth == Truth::Never || !bounds.identified {
-        possible.push(Failure::Rejected);
+        failures.push(Failure::Rejected);
     }
     if truth == Truth::Ran {
-        possible.push(Failure::Failed);
+        failures.push(Failure::Failed);
     }
-    possible
+    failures
 }
 
 fn fail(world: &World, truth: Truth, failure: Failure) -> World {
--- a/crates/spec/src/belief.rs
+++ b/crates/spec/src/belief.rs
@@ -17,7 +17,7 @@
     /// How long a confirmation of the configuration stays valid.
     pub horizon: u64,
     /// How long the store's watches may miss a change.
-    pub deaf: u64,
+    pub watch_gap: u64,
 }
 
 /// One gateway's knowledge of the key.
@@ -36,16 +36,16 @@
     pub(crate) fn serves(&self, times: &Times) -> bool {
         let mut freshness = Freshness::new(time::Duration::from_secs(times.horizon));
         if let Some(confirmed) = self.confirmed {
-            freshness.confirm(at(confirmed));
+            freshness.confirm(timestamp(confirmed));
         }
-        self.known && freshness.accepts_keys(at(self.clock))
+        self.known && freshness.accepts_keys(timestamp(self.clock))
     }
 }
 
 impl Times {
     /// Returns whether a watch of the store has reported the revocation of the key by `now`.
     pub(crate) fn heard(&self, now: u64, revoked: Option<u64>) -> bool {
-        revoked.is_some_and(|revoked| now >= revoked + self.deaf)
+        revoked.is_some_and(|revoked| now >= revoked + self.watch_gap)
     }
 
     /// Returns the violated invariant if `belief` still serves the key after the bound on revocation.
@@ -60,6 +60,6 @@
     }
 }
 
-const fn at(step: u64) -> Timestamp {
+const fn timestamp(step: u64) -> Timestamp {
     Timestamp::from_millis(step * 1_000)
 }
--- a/crates/spec/src/commits/next.rs
+++ b/crates/spec/src/commits/next.rs
@@ -8,24 +8,24 @@
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
-    found: Vec<(Step, World)>,
+    successors: Vec<(Step, World)>,
 }
 
 /// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut steps = Steps { bounds, world, found: vec![] };
+    let mut steps = Steps { bounds, world, successors: vec![] };
     for (number, owner) in world.owners.iter().enumerate() {
         steps.owner(number, owner);
     }
-    steps.surroundings();
-    steps.found
+    steps.environment();
+    steps.successors
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&mut World)) {
         let mut world = self.world.clone();
         change(&mut world);
-        self.found.push((step, world));
+        self.successors.push((step, world));
     }
 
     fn owner(&mut self, number: usize, owner: &Owner) {
@@ -85,7 +85,7 @@
         }
     }
 
-    fn surroundings(&mut self) {
+    fn environment(&mut self) {
         let compare = self.bounds.compare;
         if !self.world.late.is_empty() {
             self.add(Step::Late, |world| {
@@ -98,8 +98,8 @@
         }
         let retention = self.bounds.retention();
         let layout = intents::Layout { buckets: 1, slice_ms: 1, retention };
-        let over = layout.is_expired(CREATED_MS, self.world.now_ms());
-        if over && !self.world.parts.is_empty() {
+        let is_expired = layout.is_expired(CREATED_MS, self.world.now_ms());
+        if is_expired && !self.world.parts.is_empty() {
             self.add(Step::Delete, |world| world.parts.clear());
         }
     }
@@ -124,9 +124,9 @@
     expected_revision: u64,
     part: &intents::Part,
 ) -> intents::StepResult {
-    let stands = world.parts.get(&index);
-    if compare && stands.map_or(0, |stored| stored.revision) != expected_revision {
-        return intents::StepResult::Conflict(stands.cloned());
+    let existing = world.parts.get(&index);
+    if compare && existing.map_or(0, |stored| stored.revision) != expected_revision {
+        return intents::StepResult::Conflict(existing.cloned());
     }
     world.revision += 1;
     let stored = intents::Stored { index, revision: world.revision, part: part.clone() };
--- a/crates/spec/src/configuration/next.rs
+++ b/crates/spec/src/configuration/next.rs
@@ -9,12 +9,12 @@
 /// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     world: &'a World,
-    found: Vec<(Step, World)>,
+    successors: Vec<(Step, World)>,
 }
 
 /// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut steps = Steps { world, found: vec![] };
+    let mut steps = Steps { world, successors: vec![] };
     let guards = bounds.guards;
     for operator in 0..bounds.operators {
         match &world.attempts[operator] {
@@ -26,14 +26,14 @@
         steps.daemon(guards, daemon);
     }
     steps.service(guards);
-    steps.found
+    steps.successors
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&mut World)) {
         let mut world = self.world.clone();
         change(&mut world);
-        self.found.push((step, world));
+        self.successors.push((step, world));
     }
 
     fn send(&mut self, operator: usize) {
--- a/crates/spec/src/configuration/steps.rs
+++ b/crates/spec/src/configuration/steps.rs
@@ -48,7 +48,7 @@
             Self::LateWrite => write!(f, "service: gets a write that was given up on"),
             Self::Written(o) => write!(f, "operator {o}'s write: the answer arrives"),
             Self::LoseWritten(o) => write!(f, "operator {o}'s write: the answer is lost"),
-            Self::GiveUp(o) => write!(f, "operator {o}'s change: its time is over"),
+            Self::GiveUp(o) => write!(f, "operator {o}'s change: times out"),
             Self::Fetch(d) => write!(f, "service: reads the root for daemon {d}"),
             Self::Adopt(d) => write!(f, "daemon {d}: gets the root"),
             Self::Tell(p, d) => write!(f, "daemon {p}: answers its peer, daemon {d}"),
--- a/crates/spec/src/keys.rs
+++ b/crates/spec/src/keys.rs
@@ -48,7 +48,7 @@
         f.write_str(match self {
             Self::Pass => "time passes",
             Self::Suspend => "time passes while the host is suspended",
-            Self::Revoke => "the key is taken away",
+            Self::Revoke => "the key is revoked",
             Self::Ask => "the gateway asks and the store answers",
             Self::Answer => "the answer arrives",
             Self::Restart => "the process restarts",
@@ -58,7 +58,7 @@
 
 /// An answer of the store that has not arrived yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct OnWay {
+struct PendingAnswer {
     /// When the gateway asked, by its own clock.
     asked: u64,
     /// Whether the store's watch still knows the key.
@@ -70,14 +70,14 @@
 pub struct World {
     now: u64,
     revoked: Option<u64>,
-    answer: Option<OnWay>,
+    answer: Option<PendingAnswer>,
     gateway: Belief,
 }
 
 /// Explores every state within the bounds.
 pub fn explore(bounds: &Bounds) -> explore::Report {
     let check = |world: &World| bounds.times.check(world.now, world.revoked, &world.gateway);
-    explore::explore(&first(), |world| next(bounds, world), check)
+    explore::explore(&initial(), |world| next(bounds, world), check)
 }
 
 /// Returns the shortest sequence of steps to a gateway that refuses a revoked key of which it has no
@@ -86,19 +86,19 @@
     let is_refused = |world: &World| {
         world.revoked.is_some() && world.gateway.known && !world.gateway.serves(&bounds.times)
     };
-    explore::reach(&first(), |world| next(bounds, world), is_refused)
+    explore::reach(&initial(), |world| next(bounds, world), is_refused)
 }
 
-fn first() -> World {
+fn initial() -> World {
     World { now: 0, revoked: None, answer: None, gateway: Belief::default() }
 }
 
 fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut found = vec![];
+    let mut successors = vec![];
     let mut add = |step, change: &dyn Fn(&mut World)| {
         let mut world = world.clone();
         change(&mut world);
-        found.push((step, world));
+        successors.push((step, world));
     };
     if world.now < bounds.times.steps {
         add(Step::Pass, &|world| {
@@ -116,7 +116,7 @@
     match world.answer {
         None => {
             let valid = !bounds.times.heard(world.now, world.revoked);
-            let answer = OnWay { asked: world.gateway.clock, valid };
+            let answer = PendingAnswer { asked: world.gateway.clock, valid };
             add(Step::Ask, &|world| world.answer = Some(answer));
         }
         Some(answer) => add(Step::Answer, &|world| {
@@ -135,5 +135,5 @@
             world.gateway.confirmed = world.gateway.confirmed.map(|_| world.gateway.clock);
         }
     });
-    found
+    successors
 }
--- a/crates/spec/src/orders/bounds.rs
+++ b/crates/spec/src/orders/bounds.rs
@@ -14,7 +14,7 @@
     /// The longest pause between a daemon's last check of the clock and its write.
     pub pause: u64,
     /// Whether a daemon checks the send deadline against the clock once more before it writes.
-    pub looks: bool,
+    pub rechecks_clock: bool,
     /// How long a lease lasts without renewal.
     pub ttl: u64,
     /// How long before the end of the lease its holder stops sending.
@@ -26,7 +26,7 @@
 }
 
 /// How long an order can actually take effect after it was written.
-pub(super) const SETTLE: u64 = 1;
+pub(super) const SETTLE_TIME: u64 = 1;
 
 impl Bounds {
     /// Creates bounds with every guard enabled and an engine that ignores fencing tokens.
@@ -35,10 +35,10 @@
             end: 6,
             checks_fencing: false,
             pause: 2,
-            looks: true,
+            rechecks_clock: true,
             ttl: 4,
             clock_margin: 1,
-            settle_time: SETTLE,
+            settle_time: SETTLE_TIME,
             takeover_delay: 1,
         }
     }
--- a/crates/spec/src/orders/daemon.rs
+++ b/crates/spec/src/orders/daemon.rs
@@ -29,7 +29,7 @@
     /// The time from which the order must not be written any more.
     pub send_deadline: time::Timestamp,
     /// When the daemon last checked the clock before the write; `None` before it has.
-    pub looked: Option<u64>,
+    pub checked_at: Option<u64>,
 }
 
 /// One daemon.
@@ -61,7 +61,7 @@
                 orders::Action::Renew => self.call = Some(Call::Renew(now)),
                 orders::Action::Send { order, fence, send_deadline } => {
                     let key = order.key;
-                    self.sending = Some(Sending { key, fence, send_deadline, looked: None });
+                    self.sending = Some(Sending { key, fence, send_deadline, checked_at: None });
                 }
                 // There is only one version, and acquiring the lease confirms it.
                 orders::Action::Confirm { .. }
--- a/crates/spec/src/orders/next.rs
+++ b/crates/spec/src/orders/next.rs
@@ -5,39 +5,40 @@
 use trefoildyke_decide::orders;
 
 use crate::orders::{
-    Bounds, Call, Daemon, Lease, Sending, Step, World, bounds::SETTLE, daemon, daemon::timestamp,
+    Bounds, Call, Daemon, Lease, Sending, Step, World, bounds::SETTLE_TIME, daemon,
+    daemon::timestamp,
 };
 
 /// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
-    found: Vec<(Step, World)>,
+    successors: Vec<(Step, World)>,
 }
 
 /// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut steps = Steps { bounds, world, found: vec![] };
+    let mut steps = Steps { bounds, world, successors: vec![] };
     for (number, daemon) in world.daemons.iter().enumerate() {
         steps.daemon(number, daemon);
     }
     steps.orders();
     steps.clock();
-    steps.found
+    steps.successors
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&mut World)) {
         let mut world = self.world.clone();
         change(&mut world);
-        self.found.push((step, world));
+        self.successors.push((step, world));
     }
 
     /// Advances the clock, unless an order in flight has reached the end of its settle time: such an order
     /// must first take effect or be lost.
     fn clock(&mut self) {
         let now = self.world.now;
-        let waits = self.world.orders.iter().any(|(written, _)| written + SETTLE <= now);
+        let waits = self.world.orders.iter().any(|(written, _)| written + SETTLE_TIME <= now);
         if now < self.bounds.end && !waits {
             self.add(Step::Clock(now + 1), |world| world.now += 1);
         }
@@ -83,21 +84,21 @@
     fn send(&mut self, number: usize, sending: &Sending) {
         let now = self.world.now;
         let key = sending.key.clone();
-        let Some(looked) = sending.looked else {
-            if self.bounds.looks && timestamp(now) >= sending.send_deadline {
+        let Some(checked_at) = sending.checked_at else {
+            if self.bounds.rechecks_clock && timestamp(now) >= sending.send_deadline {
                 self.add(Step::Refrain(number), |world| {
                     end_sending(world, number, key, orders::SendResult::NotSent);
                 });
             } else {
                 self.add(Step::Look(number), |world| {
                     if let Some(sending) = &mut world.daemons[number].sending {
-                        sending.looked = Some(now);
+                        sending.checked_at = Some(now);
                     }
                 });
             }
             return;
         };
-        if now - looked <= self.bounds.pause {
+        if now - checked_at <= self.bounds.pause {
             let fence = sending.fence;
             self.add(Step::Write(number), |world| {
                 world.orders.push((now, fence));
--- a/crates/spec/src/passed_keys.rs
+++ b/crates/spec/src/passed_keys.rs
@@ -56,7 +56,7 @@
             Self::Pass => "time passes",
             Self::SuspendReader => "time passes while the reader's host is suspended",
             Self::SuspendFollower => "time passes while the follower's host is suspended",
-            Self::Revoke => "the key is taken away",
+            Self::Revoke => "the key is revoked",
             Self::Confirm => "the store confirms the configuration to the reader",
             Self::Ask => "the follower asks",
             Self::Reply => "the reader replies",
@@ -87,26 +87,26 @@
 /// Explores every state within the bounds.
 pub fn explore(bounds: &Bounds) -> explore::Report {
     let check = |world: &World| bounds.times.check(world.now, world.revoked, &world.follower);
-    explore::explore(&first(), |world| next(bounds, world), check)
+    explore::explore(&initial(), |world| next(bounds, world), check)
 }
 
 /// Returns the shortest sequence of steps to a follower that serves the key.
 pub fn reach_served(bounds: &Bounds) -> Option<Vec<String>> {
     let is_served = |world: &World| world.follower.serves(&bounds.times);
-    explore::reach(&first(), |world| next(bounds, world), is_served)
+    explore::reach(&initial(), |world| next(bounds, world), is_served)
 }
 
-fn first() -> World {
+fn initial() -> World {
     let none = Belief::default();
     World { now: 0, revoked: None, reader: none, follower: none, message: None }
 }
 
 fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut found = passing(bounds, world);
+    let mut successors = time_steps(bounds, world);
     let mut add = |step, change: &dyn Fn(&mut World)| {
         let mut world = world.clone();
         change(&mut world);
-        found.push((step, world));
+        successors.push((step, world));
     };
     if world.revoked.is_none() {
         add(Step::Revoke, &|world| world.revoked = Some(world.now));
@@ -144,11 +144,11 @@
         world.follower = Belief { clock: world.follower.clock, ..Belief::default() };
         world.message = None;
     });
-    found
+    successors
 }
 
 /// Returns the steps in which time passes, with or without a suspended host.
-fn passing(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
+fn time_steps(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
     if world.now >= bounds.times.steps {
         return vec![];
     }
--- a/crates/spec/src/requests/effects.rs
+++ b/crates/spec/src/requests/effects.rs
@@ -41,13 +41,13 @@
     let Some(request) = &mut world.daemon(daemon).request else {
         return;
     };
-    let input = if bounds.guards.nonce { input } else { take_as_own(input, request.nonce()) };
+    let input = if bounds.guards.nonce { input } else { with_own_nonce(input, request.nonce()) };
     let actions = request.step(coordinate::Now { monotonic, unix_ms }, input);
     perform(bounds, world, daemon, actions);
 }
 
 /// Returns the last chunk of the answer to a daemon's request, which completes the answer.
-pub(super) fn whole(request: &coordinate::RequestState) -> coordinate::Input {
+pub(super) fn last_chunk(request: &coordinate::RequestState) -> coordinate::Input {
     coordinate::Input::Chunk(request::Chunk {
         id: request.key().id,
         offset: request.offset(),
@@ -172,7 +172,7 @@
 }
 
 /// Replaces the nonce of any intent by the daemon's own, as if the nonce were not compared.
-fn take_as_own(input: coordinate::Input, nonce: id::Nonce) -> coordinate::Input {
+fn with_own_nonce(input: coordinate::Input, nonce: id::Nonce) -> coordinate::Input {
     use coordinate::{Input, ReadOutcome, WriteOutcome};
     use request::Record;
 
--- a/crates/spec/src/requests/next.rs
+++ b/crates/spec/src/requests/next.rs
@@ -14,27 +14,27 @@
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
-    found: Vec<(Step, World)>,
+    successors: Vec<(Step, World)>,
 }
 
 /// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut steps = Steps { bounds, world, found: vec![] };
+    let mut steps = Steps { bounds, world, successors: vec![] };
     steps.caller();
-    steps.surroundings();
+    steps.environment();
     for daemon in 0..world.daemons.len() {
         if world.daemons[daemon].alive {
             steps.daemon(daemon);
         }
     }
-    steps.found
+    steps.successors
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&Bounds, &mut World)) {
         let mut world = self.world.clone();
         change(self.bounds, &mut world);
-        self.found.push((step, world));
+        self.successors.push((step, world));
     }
 
     /// Ends an operation and passes its outcome to the daemon's request.
@@ -75,7 +75,7 @@
         }
     }
 
-    fn surroundings(&mut self) {
+    fn environment(&mut self) {
         for number in 0..self.world.late_writes.len() {
             self.add(Step::LateWrite(number), |_, world| {
                 let record = world.late_writes.remove(number);
@@ -89,7 +89,7 @@
             });
         }
         if self.bounds.ageing && self.world.age != Age::Deleted {
-            self.add(Step::Grow, |_, world| grow(world));
+            self.add(Step::Grow, |_, world| advance_age(world));
         }
     }
 
@@ -155,12 +155,12 @@
             }
             Operation::Send(endpoint) => self.send(at, endpoint),
             Operation::Stream => {
-                self.settle(Step::Answer(daemon), at, effects::whole(request), false);
+                self.settle(Step::Answer(daemon), at, effects::last_chunk(request), false);
                 self.settle(Step::LoseStream(daemon), at, Input::StreamLost, false);
             }
             Operation::Resume(endpoint) => {
                 if self.world.started.contains(endpoint) {
-                    self.settle(Step::Resume(daemon), at, effects::whole(request), false);
+                    self.settle(Step::Resume(daemon), at, effects::last_chunk(request), false);
                 }
                 self.settle(Step::FailResume(daemon), at, Input::ResumeFailed, false);
             }
@@ -179,7 +179,7 @@
     fn write(&mut self, at: (usize, usize), record: &request::Record) {
         let (daemon, number) = at;
         let outcome = match &self.world.record {
-            Some(stands) => WriteOutcome::Exists(stands.clone()),
+            Some(existing) => WriteOutcome::Exists(existing.clone()),
             None => WriteOutcome::Created,
         };
         self.add(Step::Apply(daemon), |_, world| {
@@ -237,7 +237,7 @@
             return;
         };
         let input = match followed.request.as_ref().map(coordinate::RequestState::phase) {
-            Some(coordinate::Phase::Answered) => effects::whole(request),
+            Some(coordinate::Phase::Answered) => effects::last_chunk(request),
             Some(coordinate::Phase::Refused(kind)) => {
                 Input::Refused(coordinate::Reason::Deadline.refuse(*kind))
             }
@@ -247,7 +247,7 @@
     }
 }
 
-fn grow(world: &mut World) {
+fn advance_age(world: &mut World) {
     world.age = match world.age {
         Age::Fresh => Age::Skewed,
         Age::Skewed => Age::Old,
--- a/crates/spec/src/requests/steps.rs
+++ b/crates/spec/src/requests/steps.rs
@@ -102,13 +102,15 @@
                 write!(f, "daemon {d}: the answer to its read arrives after the permit's end")
             }
             Self::Start(d) => write!(f, "endpoint: starts what daemon {d} sent"),
-            Self::FailConnect(d) => write!(f, "daemon {d}: connects in vain, nothing is sent"),
+            Self::FailConnect(d) => write!(f, "daemon {d}: fails to connect; nothing is sent"),
             Self::LateStart => write!(f, "endpoint: starts what its daemon no longer follows"),
             Self::Answer(d) => write!(f, "daemon {d}: the whole answer arrives"),
             Self::LoseStream(d) => write!(f, "daemon {d}: loses the connection to the endpoint"),
             Self::Resume(d) => write!(f, "daemon {d}: resumes and gets the whole answer"),
             Self::FailResume(d) => write!(f, "daemon {d}: cannot resume"),
-            Self::Follow(d) => write!(f, "daemon {d}: hears from the coordinator how it ended"),
+            Self::Follow(d) => {
+                write!(f, "daemon {d}: learns from the coordinator how the request ended")
+            }
             Self::FailAttach(d) => write!(f, "daemon {d}: cannot follow the coordinator"),
             Self::Deadline(d) => write!(f, "daemon {d}: the deadline passes"),
             Self::CallerGone(d) => write!(f, "daemon {d}: notices that the caller is gone"),
--- a/crates/spec/src/rollouts.rs
+++ b/crates/spec/src/rollouts.rs
@@ -64,11 +64,11 @@
         match self {
             Self::Order(daemon) => write!(f, "{daemon} reads the order"),
             Self::Read(daemon) => write!(f, "{daemon} reads the record"),
-            Self::Hear(daemon, from) => write!(f, "{daemon} hears from {from}"),
-            Self::Write(daemon) => write!(f, "{daemon} writes what follows"),
-            Self::Carry(daemon) => write!(f, "the write of {daemon} is carried out"),
+            Self::Hear(daemon, from) => write!(f, "{daemon} learns from {from}"),
+            Self::Write(daemon) => write!(f, "{daemon} writes the next stage"),
+            Self::Carry(daemon) => write!(f, "the write of {daemon} is applied"),
             Self::Lose(daemon) => write!(f, "{daemon} gets no answer"),
-            Self::Stop(daemon) => write!(f, "{daemon} stops the move"),
+            Self::Stop(daemon) => write!(f, "{daemon} stops the rollout"),
             Self::Send(daemon) => write!(f, "{daemon} sends a request to the old version"),
             Self::End => f.write_str("the request ends"),
             Self::Restart(daemon) => write!(f, "{daemon} restarts"),
@@ -97,43 +97,43 @@
     revision: u8,
     is_bad: bool,
     /// Whether a request runs at the old version.
-    runs: bool,
+    is_running: bool,
     restarts: u8,
     /// Whether a final stage in the record was replaced by a different stage.
-    both: bool,
+    end_changed: bool,
     /// Whether a request ran at the old version when the rollout was recorded as complete.
-    cut: bool,
+    has_cut: bool,
 }
 
 /// Explores every state within the bounds.
 pub fn explore(bounds: &Bounds) -> explore::Report {
-    explore::explore(&first(bounds), |world| next(bounds, world), check)
+    explore::explore(&initial(bounds), |world| next(bounds, world), check)
 }
 
 /// Returns the shortest sequence of steps to a record with this stage.
 pub fn reach(bounds: &Bounds, stage: Stage) -> Option<Vec<String>> {
     let is_there = |world: &World| world.record == Some(stage);
-    explore::reach(&first(bounds), |world| next(bounds, world), is_there)
+    explore::reach(&initial(bounds), |world| next(bounds, world), is_there)
 }
 
-fn first(bounds: &Bounds) -> World {
+fn initial(bounds: &Bounds) -> World {
     World {
         daemons: vec![Daemon::default(); bounds.daemons],
         record: None,
         revision: 0,
         is_bad: false,
-        runs: false,
+        is_running: false,
         restarts: 0,
-        both: false,
-        cut: false,
+        end_changed: false,
+        has_cut: false,
     }
 }
 
 const fn check(world: &World) -> Option<Invariant> {
-    if world.both {
+    if world.end_changed {
         return Some(Invariant::OneEnd);
     }
-    if world.cut { Some(Invariant::CompleteCutsNothing) } else { None }
+    if world.has_cut { Some(Invariant::CompleteCutsNothing) } else { None }
 }
 
 fn service() -> id::PoolName {
@@ -172,99 +172,104 @@
 }
 
 /// Returns the next stage for a daemon that decides, or `None` if nothing changes.
-fn follows(bounds: &Bounds, world: &World, stage: Option<Stage>) -> Option<Stage> {
+fn next_stage(bounds: &Bounds, world: &World, stage: Option<Stage>) -> Option<Stage> {
     let comparison =
         if world.is_bad { Comparison::Bad { evidence: 10.0 } } else { Comparison::Good };
     let has_heard = |daemon: &Daemon| daemon.stage.is_some_and(|stage| stage >= Stage::Moving);
     let is_heard = !bounds.waits || world.daemons.iter().all(has_heard);
     let finding =
-        Finding { comparison, old_is_idle: !world.runs && is_heard, only_new_listed: false };
+        Finding { comparison, old_is_idle: !world.is_running && is_heard, only_new_listed: false };
     let late = Timestamp::from_millis(1_000);
     known(stage).next(late, &service(), finding).map(|next| next.stage)
 }
 
 fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut found = vec![];
-    for place in 0..world.daemons.len() {
-        steps_of(bounds, world, place, &mut found);
+    let mut successors = vec![];
+    for number in 0..world.daemons.len() {
+        daemon_steps(bounds, world, number, &mut successors);
     }
-    if world.runs {
-        found.push((Step::End, World { runs: false, ..world.clone() }));
+    if world.is_running {
+        successors.push((Step::End, World { is_running: false, ..world.clone() }));
     }
     let is_ending = |daemon: &Daemon| matches!(daemon.write, Some((Stage::Complete, _)));
     let stays_good = bounds.calm_end && world.daemons.iter().any(is_ending);
     if !(world.is_bad || stays_good) {
-        found.push((Step::TurnBad, World { is_bad: true, ..world.clone() }));
+        successors.push((Step::TurnBad, World { is_bad: true, ..world.clone() }));
     }
-    found
+    successors
 }
 
-fn steps_of(bounds: &Bounds, world: &World, place: usize, found: &mut Vec<(Step, World)>) {
-    let daemon = world.daemons[place];
+fn daemon_steps(
+    bounds: &Bounds,
+    world: &World,
+    number: usize,
+    successors: &mut Vec<(Step, World)>,
+) {
+    let daemon = world.daemons[number];
     let mut add = |step, change: &dyn Fn(&mut World)| {
         let mut world = world.clone();
         change(&mut world);
-        found.push((step, world));
+        successors.push((step, world));
     };
     if daemon.stage.is_none() {
-        add(Step::Order(place), &|world| world.daemons[place].stage = Some(Stage::Ordered));
+        add(Step::Order(number), &|world| world.daemons[number].stage = Some(Stage::Ordered));
     }
-    for from in (0..world.daemons.len()).filter(|from| *from != place) {
+    for from in (0..world.daemons.len()).filter(|from| *from != number) {
         let stage = learned(daemon.stage, world.daemons[from].stage);
         if stage != daemon.stage {
-            add(Step::Hear(place, from), &|world| world.daemons[place].stage = stage);
+            add(Step::Hear(number, from), &|world| world.daemons[number].stage = stage);
         }
     }
     if daemon.stage.is_some() && daemon.revision.is_none() {
         let stage = learned(daemon.stage, world.record);
-        add(Step::Read(place), &|world| {
-            world.daemons[place].stage = stage;
-            world.daemons[place].revision = Some(world.revision);
+        add(Step::Read(number), &|world| {
+            world.daemons[number].stage = stage;
+            world.daemons[number].revision = Some(world.revision);
         });
     }
-    let follows = follows(bounds, world, daemon.stage);
-    match (follows, daemon.revision, daemon.write) {
+    let next_stage = next_stage(bounds, world, daemon.stage);
+    match (next_stage, daemon.revision, daemon.write) {
         (Some(Stage::Stopped), ..) => {
-            add(Step::Stop(place), &|world| world.daemons[place].stage = Some(Stage::Stopped));
+            add(Step::Stop(number), &|world| world.daemons[number].stage = Some(Stage::Stopped));
         }
         (Some(stage), Some(revision), None) if revision < bounds.changes => {
-            add(Step::Write(place), &|world| {
-                world.daemons[place].write = Some((stage, revision));
+            add(Step::Write(number), &|world| {
+                world.daemons[number].write = Some((stage, revision));
             });
         }
         _ => {}
     }
     if let Some(write) = daemon.write {
-        add(Step::Carry(place), &|world| carry(bounds, world, place, write));
-        add(Step::Lose(place), &|world| {
-            world.daemons[place].write = None;
-            world.daemons[place].revision = None;
+        add(Step::Carry(number), &|world| apply_write(bounds, world, number, write));
+        add(Step::Lose(number), &|world| {
+            world.daemons[number].write = None;
+            world.daemons[number].revision = None;
         });
     }
     let gate = known(daemon.stage).gate(&service(), 0.1, true);
-    let is_open = bounds.sends && !world.runs && world.record != Some(Stage::Complete);
+    let is_open = bounds.sends && !world.is_running && world.record != Some(Stage::Complete);
     if is_open && gate.access(&"old".into()) == Access::Full {
-        add(Step::Send(place), &|world| world.runs = true);
+        add(Step::Send(number), &|world| world.is_running = true);
     }
     if world.restarts < bounds.restarts && daemon != Daemon::default() {
-        add(Step::Restart(place), &|world| {
-            world.daemons[place] = Daemon { write: daemon.write, ..Daemon::default() };
+        add(Step::Restart(number), &|world| {
+            world.daemons[number] = Daemon { write: daemon.write, ..Daemon::default() };
             world.restarts += 1;
         });
     }
 }
 
-fn carry(bounds: &Bounds, world: &mut World, place: usize, (stage, revision): (Stage, u8)) {
-    world.daemons[place].write = None;
+fn apply_write(bounds: &Bounds, world: &mut World, number: usize, (stage, revision): (Stage, u8)) {
+    world.daemons[number].write = None;
     if bounds.compares && world.revision != revision {
-        world.daemons[place].revision = None;
+        world.daemons[number].revision = None;
         return;
     }
     let is_other = |record: Stage| record.is_final() && record != stage;
-    world.both |= world.record.is_some_and(is_other);
-    world.cut |= stage == Stage::Complete && world.runs;
+    world.end_changed |= world.record.is_some_and(is_other);
+    world.has_cut |= stage == Stage::Complete && world.is_running;
     world.record = Some(stage);
     world.revision += 1;
-    world.daemons[place].revision = Some(world.revision);
-    world.daemons[place].stage = learned(world.daemons[place].stage, Some(stage));
+    world.daemons[number].revision = Some(world.revision);
+    world.daemons[number].stage = learned(world.daemons[number].stage, Some(stage));
 }
--- a/crates/spec/src/stops/next.rs
+++ b/crates/spec/src/stops/next.rs
@@ -16,14 +16,14 @@
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
-    found: Vec<(Step, World)>,
+    successors: Vec<(Step, World)>,
 }
 
 /// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut steps = Steps { bounds, world, found: vec![] };
+    let mut steps = Steps { bounds, world, successors: vec![] };
     if world.stopped {
-        return steps.found;
+        return steps.successors;
     }
     steps.operator();
     for (number, daemon) in world.daemons.iter().enumerate() {
@@ -34,14 +34,14 @@
     for (place, daemon) in world.running.iter().enumerate() {
         steps.add(Step::End(*daemon), |world| end(world, place));
     }
-    steps.found
+    steps.successors
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&mut World)) {
         let mut world = self.world.clone();
         change(&mut world);
-        self.found.push((step, world));
+        self.successors.push((step, world));
     }
 
     fn operator(&mut self) {
--- a/crates/spec/src/stops/steps.rs
+++ b/crates/spec/src/stops/steps.rs
@@ -41,7 +41,7 @@
             Self::Written(d) => write!(f, "daemon {d}: the intent is recorded"),
             Self::End(d) => write!(f, "endpoint: ends daemon {d}'s request"),
             Self::Die(d) => write!(f, "daemon {d}: dies"),
-            Self::Report(d) => write!(f, "daemon {d}: reports how far stops have ended"),
+            Self::Report(d) => write!(f, "daemon {d}: reports how far stops have settled"),
             Self::Stopped => {
                 write!(f, "operator: sees the status stopped, takes the endpoint away")
             }
--- a/crates/spec/tests/testsuite/keys.rs
+++ b/crates/spec/tests/testsuite/keys.rs
@@ -6,7 +6,7 @@
 use crate::verdict;
 
 /// A revoked key must stop working within five steps; a watch may miss a change for less than two.
-const TIMES: Times = Times { steps: 12, bound: 5, horizon: 4, deaf: 2 };
+const TIMES: Times = Times { steps: 12, bound: 5, horizon: 4, watch_gap: 2 };
 
 const ALL: Bounds = Bounds { times: TIMES, asked: true, counted: true, forgets: true };
 
@@ -41,7 +41,7 @@
 fn without_room_for_a_deaf_watch() {
     let times = Times { horizon: 6, ..TIMES };
     let longer = Bounds { times, ..ALL };
-    let hearing = Times { deaf: 0, ..times };
+    let hearing = Times { watch_gap: 0, ..times };
     assert!(explore(&Bounds { times: hearing, ..ALL }).broken.is_none());
     insta::assert_snapshot!(counterexample(&longer));
 }
--- a/crates/spec/tests/testsuite/orders.rs
+++ b/crates/spec/tests/testsuite/orders.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn without_the_look_at_the_clock_after_a_pause() {
-    insta::assert_snapshot!(counterexample(&Bounds { looks: false, ..Bounds::new() }));
+    insta::assert_snapshot!(counterexample(&Bounds { rechecks_clock: false, ..Bounds::new() }));
 }
 
 /// What remains: a longer pause between the last look at the clock and the write.
--- a/crates/spec/tests/testsuite/passed_keys.rs
+++ b/crates/spec/tests/testsuite/passed_keys.rs
@@ -6,7 +6,7 @@
 use crate::verdict;
 
 /// A revoked key must stop working within five steps; a watch may miss a change for less than two.
-const TIMES: Times = Times { steps: 9, bound: 5, horizon: 4, deaf: 2 };
+const TIMES: Times = Times { steps: 9, bound: 5, horizon: 4, watch_gap: 2 };
 
 const ALL: Bounds = Bounds { times: TIMES, asked: true, aged: true, counted: true };
 
--- a/crates/spec/tests/testsuite/requests/walks.rs
+++ b/crates/spec/tests/testsuite/requests/walks.rs
@@ -49,7 +49,7 @@
     fn transitions(state: &Self) -> BoxedStrategy<(usize, String)> {
         let steps = next(&state.bounds, &state.world);
         let named = steps.iter().enumerate().map(|(number, (step, _))| (number, step));
-        let (on, off): (Vec<_>, Vec<_>) = named.partition(|(_, step)| leads_on(step));
+        let (on, off): (Vec<_>, Vec<_>) = named.partition(|(_, step)| makes_progress(step));
         let choose = |steps: Vec<(usize, &Step)>| {
             let named = steps.into_iter().map(|(number, step)| (number, step.to_string()));
             proptest::sample::select(named.collect::<Vec<_>>()).boxed()
@@ -87,12 +87,12 @@
     }
 }
 
-fn leads_on(step: &Step) -> bool {
+fn makes_progress(step: &Step) -> bool {
     let ends = [Step::Shed, Step::RefuseWrite, Step::FailRead, Step::Deadline, Step::CallerGone];
-    let of = |step: &Step| mem::discriminant(step);
-    let gone = [Step::Die, Step::FailAttach, Step::FailResume].map(|step| of(&step(0)));
-    let grows = of(step) == of(&Step::Grow);
-    !grows && !gone.contains(&of(step)) && !ends.map(|step| of(&step(0))).contains(&of(step))
+    let kind = |step: &Step| mem::discriminant(step);
+    let gone = [Step::Die, Step::FailAttach, Step::FailResume].map(|step| kind(&step(0)));
+    let grows = kind(step) == kind(&Step::Grow);
+    !grows && !gone.contains(&kind(step)) && !ends.map(|step| kind(&step(0))).contains(&kind(step))
 }
 
 /// Guards against walks that cannot fail: without the nonce, one of them finds a second dispatch.
