--- a/crates/spec/src/invariant.rs
+++ b/crates/spec/src/invariant.rs
@@ -22,7 +22,7 @@
     PlannedStopCutsNothing,
     /// An accepted configuration is in force everywhere and never reverts.
     ConfigMonotone,
-    /// A request that the daemon has given up on is answered at once.
+    /// A request that is given up, for instance at its deadline, is answered at once.
     FinalAtOnce,
     /// A revoked key stops working within the bound, also on a gateway that cannot learn of the revocation.
     KeysFailClosed,
