--- a/crates/spec/tests/testsuite/requests/walks.rs
+++ b/crates/spec/tests/testsuite/requests/walks.rs
@@ -23,7 +23,7 @@
 
 const KINDS: [Kind; 2] = [Kind::Chosen { idempotent: false }, Kind::Issued];
 
-/// A walk: the bounds and the state that it has come to.
+/// A random walk: its bounds and its current state.
 #[derive(Clone, Debug)]
 struct Walk {
     bounds: Bounds,
@@ -32,7 +32,7 @@
 
 impl ReferenceStateMachine for Walk {
     type State = Self;
-    /// Which of the possible steps is taken, and what it is called.
+    /// The index of the step among the possible steps, and its name.
     type Transition = (usize, String);
 
     fn init_state() -> BoxedStrategy<Self> {
@@ -45,11 +45,11 @@
             .boxed()
     }
 
-    /// Prefers steps that lead on, so that walks go far before the caller has its answer.
+    /// Prefers steps that make progress, so that walks get far before the caller has its answer.
     fn transitions(state: &Self) -> BoxedStrategy<(usize, String)> {
         let steps = next(&state.bounds, &state.world);
         let named = steps.iter().enumerate().map(|(number, (step, _))| (number, step));
-        let (on, off): (Vec<_>, Vec<_>) = named.partition(|(_, step)| leads_on(step));
+        let (on, off): (Vec<_>, Vec<_>) = named.partition(|(_, step)| makes_progress(step));
         let choose = |steps: Vec<(usize, &Step)>| {
             let named = steps.into_iter().map(|(number, step)| (number, step.to_string()));
             proptest::sample::select(named.collect::<Vec<_>>()).boxed()
@@ -87,15 +87,15 @@
     }
 }
 
-fn leads_on(step: &Step) -> bool {
+fn makes_progress(step: &Step) -> bool {
     let ends = [Step::Shed, Step::RefuseWrite, Step::FailRead, Step::Deadline, Step::CallerGone];
-    let of = |step: &Step| mem::discriminant(step);
-    let gone = [Step::Die, Step::FailAttach, Step::FailResume].map(|step| of(&step(0)));
-    let grows = of(step) == of(&Step::Grow);
-    !grows && !gone.contains(&of(step)) && !ends.map(|step| of(&step(0))).contains(&of(step))
+    let kind = |step: &Step| mem::discriminant(step);
+    let gone = [Step::Die, Step::FailAttach, Step::FailResume].map(|step| kind(&step(0)));
+    let grows = kind(step) == kind(&Step::Grow);
+    !grows && !gone.contains(&kind(step)) && !ends.map(|step| kind(&step(0))).contains(&kind(step))
 }
 
-/// The walks can fail: without the nonce one of them finds a second dispatch.
+/// Guards against walks that cannot fail: without the nonce, one of them finds a second dispatch.
 #[test]
 fn find_what_is_missing() {
     let guards = Guards { nonce: false, ..Guards::ALL };
