--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -112,7 +112,7 @@
         }
         Ok(message) if !shared.core().mesh.is_member(from) => {
             shared.core().mesh.record_reply(from);
-            log::debug!("ignoring a message from {from}, which is not a member: {message:?}");
+            log::debug!("a message from {from}, which is no member, is ignored: {message:?}");
         }
         Ok(gateway::Message::Load(report)) => {
             shared.update(|core| core.handle_load(shared.now(), from, &report));
@@ -168,6 +168,6 @@
             // A reply to a query that has timed out is discarded, because its age is unknown.
             let _ = shared.queries.replies.complete(stamp, query::Reply { view, changes });
         }
-        Err(error) => log::debug!("cannot decode {} bytes from {from}: {error}", bytes.len()),
+        Err(error) => log::debug!("{} bytes from {from} are no message: {error}", bytes.len()),
     }
 }
--- a/crates/gateway/src/ingress/body.rs
+++ b/crates/gateway/src/ingress/body.rs
@@ -7,7 +7,7 @@
 
 /// Signals that an answer was aborted; the connection is closed so that the answer does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer was aborted")]
+#[error("the answer was broken off")]
 pub(crate) struct Aborted;
 
 /// The body of an answer.
--- a/crates/gateway/src/ingress/connections.rs
+++ b/crates/gateway/src/ingress/connections.rs
@@ -28,9 +28,9 @@
                     let served = serve_one(sync::Arc::clone(&shared), stream, draining.clone());
                     connections.spawn(served);
                 }
-                Ok(_) => log::warn!("connection refused: the limit on caller connections is reached"),
+                Ok(_) => log::warn!("connection refused: as many as settings allow are open"),
                 Err(error) => {
-                    log::warn!("cannot accept a connection: {error}");
+                    log::warn!("a connection could not be accepted: {error}");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
--- a/crates/gateway/src/monitoring.rs
+++ b/crates/gateway/src/monitoring.rs
@@ -36,7 +36,7 @@
                     connections.spawn(serve_one(sync::Arc::clone(&shared), stream, page));
                 }
                 Err(error) => {
-                    log::warn!("cannot accept a connection: {error}");
+                    log::warn!("a connection could not be accepted: {error}");
                     tokio::time::sleep(std::time::Duration::from_millis(20)).await;
                 }
             }
--- a/crates/gateway/src/state/shared.rs
+++ b/crates/gateway/src/state/shared.rs
@@ -88,7 +88,7 @@
                     let _ = socket.try_send_to(&bytes, *other);
                 }
             }
-            Err(error) => log::error!("cannot encode a message to the other daemons: {error}"),
+            Err(error) => log::error!("a message to the other daemons is not sent: {error}"),
         }
     }
 
--- a/crates/kernel/src/kernel.rs
+++ b/crates/kernel/src/kernel.rs
@@ -105,11 +105,11 @@
         let cause = self.traffic_runtime.block_on(async {
             tokio::select! {
                 signal = signals::stop_signal() => signal.map(str::to_owned),
-                () = stopping.cancelled() => Ok("stop requested".to_owned()),
+                () = stopping.cancelled() => Ok("a requested stop".to_owned()),
                 Some(fault) = faults.recv() => Ok(fault.to_string()),
             }
         })?;
-        log::info!("stopping: {cause}");
+        log::info!("stopping because of {cause}");
         self.stopping.cancel();
         Ok(())
     }
