--- a/crates/daemon/src/config/learner.rs
+++ b/crates/daemon/src/config/learner.rs
@@ -15,8 +15,8 @@
 
 /// Reads changes from the peer that announced the highest version.
 ///
-/// A daemon without a version asks a random peer, without waiting for an announcement. Otherwise no random
-/// peer is asked, because that would over time open a connection to every peer.
+/// A daemon without a version asks a random peer, without waiting for an announcement. A daemon with a
+/// version never does, because over time it would open a connection to every peer.
 pub(crate) async fn run(handle: Handle, mut peers: Peers) {
     let mut poll = time::interval(handle.settings.poll());
     poll.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -70,7 +70,8 @@
                 request.after = resources.last().map(trefoildyke_types::resource::Resource::key);
                 all_resources.extend(resources);
                 if !more {
-                    let snapshot = sync::Arc::new(config::Snapshot::of(version, all_resources));
+                    let snapshot =
+                        sync::Arc::new(config::Snapshot::from_resources(version, all_resources));
                     return handle.replace(snapshot).await.map(|_| ());
                 }
             }
@@ -83,7 +84,7 @@
     source: id::Incarnation,
     request: peer::ChangesRequest,
 ) -> Result<storage::Answer, error::Error> {
-    let changes = (peers.pull)(source, request).await?;
+    let changes = (peers.request_changes)(source, request).await?;
     let text: String = changes.body.decode().map_err(|error| protocol_error(&error))?;
     serde_json::from_str(&text).map_err(|error| protocol_error(&error))
 }
--- a/crates/daemon/src/coordinate/driver.rs
+++ b/crates/daemon/src/coordinate/driver.rs
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Returns the input for an operation that ended: an answer that ends without its last chunk is lost.
+    /// Clears the operation, which ended without the last chunk of the answer, and returns `StreamLost`.
     fn stream_ended(&mut self) -> Input {
         self.operation = operations::none();
         Input::StreamLost
@@ -131,12 +131,12 @@
     }
 
     fn advance(&mut self, input: Input) {
-        self.job.state.join(self.job.entry.is_second());
+        self.job.state.join(self.job.entry.is_maybe_retry());
         let actions = self.job.state.step(self.context.clock.now(), input);
         self.run_actions(actions);
     }
 
-    /// Turns a permit into an unusable one if this daemon knows that it must not be used.
+    /// Marks a new permit as unusable if this daemon is isolated or the endpoint accepts no new work.
     fn check_permit(&mut self, input: Input) -> Input {
         match input {
             Input::Permit(permit) if !self.is_usable(&permit.endpoint) => {
@@ -177,14 +177,14 @@
         let key = self.job.entry.key.clone();
         let context = sync::Arc::clone(&self.context);
         match action {
-            Action::Ask => self.ask(),
+            Action::RequestPermit => self.ask(),
             Action::Withdraw => self.operation = operations::none(),
-            Action::HandBack(permit) => self.hand_back(&permit),
+            Action::ReturnPermit(permit) => self.return_permit(&permit),
             Action::Record(record) => {
                 self.record_event("record", || describe_record(&record));
                 self.operation = operations::record(context, key, record);
             }
-            Action::LookUp => self.operation = operations::look_up(context, key),
+            Action::ReadRecord => self.operation = operations::look_up(context, key),
             Action::Dispatch(endpoint) => self.dispatch(&endpoint),
             Action::Resume { endpoint, offset } => self.resume(&endpoint, offset),
             Action::Attach { coordinator, offset } => {
@@ -195,13 +195,14 @@
             Action::Cancel(endpoint) => self.cancel(&endpoint),
             Action::Deliver(chunk) => self.deliver(chunk),
             Action::Refuse(refusal) => {
-                self.job.entry.refuse(refusal, self.job.state.is_second());
+                self.job.entry.refuse(refusal, self.job.state.is_maybe_retry());
             }
         }
     }
 
     fn ask(&mut self) {
-        let (Some(shard), Some(ask)) = (self.shard.clone(), self.job.ask(self.context.links.own))
+        let (Some(shard), Some(ask)) =
+            (self.shard.clone(), self.job.ask(self.context.peer_calls.own))
         else {
             // Without a submission, the caller only resumes an answer and needs no permit.
             self.operation = operations::none();
@@ -213,9 +214,9 @@
         self.operation = operations::ask(context, shard, ask, self.job.deadline, pause);
     }
 
-    fn hand_back(&self, permit: &request::Permit) {
+    fn return_permit(&self, permit: &request::Permit) {
         self.record_event("handed_back", || format!("permit for {}", permit.endpoint));
-        self.report(schedule::Note::HandBack { key: permit.key.clone() });
+        self.report(schedule::RequestEvent::HandBack { key: permit.key.clone() });
     }
 
     fn dispatch(&mut self, endpoint: &id::EndpointName) {
@@ -228,17 +229,17 @@
         self.guard = Some(self.context.in_flight.track(endpoint));
         self.report_started();
         self.record_event("dispatched", || endpoint.to_string());
-        let left = self.job.deadline.since(self.context.clock.mono());
+        let left = self.job.deadline.since(self.context.clock.monotonic());
         self.operation = operations::dispatch(&self.context, &spec, key, &submission, left);
     }
 
     fn report_started(&mut self) {
-        let ask = self.job.ask(self.context.links.own);
+        let ask = self.job.ask(self.context.peer_calls.own);
         if let (Some(mut ask), Some(permit)) = (ask, self.permit.clone()) {
-            let left = self.job.deadline.since(self.context.clock.mono());
+            let left = self.job.deadline.since(self.context.clock.monotonic());
             ask.left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
             self.is_running = true;
-            self.report(schedule::Note::Started { ask, permit });
+            self.report(schedule::RequestEvent::Started { ask, permit });
         }
     }
 
@@ -255,10 +256,10 @@
 
     /// Reports to the scheduler a request that another daemon has dispatched.
     fn report_takeover(&mut self, endpoint: &id::EndpointName) {
-        let ask = self.job.ask(self.context.links.own);
+        let ask = self.job.ask(self.context.peer_calls.own);
         if let (Some(ask), false) = (ask, self.is_running) {
             self.is_running = true;
-            self.report(schedule::Note::TakenOver { ask, endpoint: endpoint.clone() });
+            self.report(schedule::RequestEvent::TakenOver { ask, endpoint: endpoint.clone() });
         }
     }
 
@@ -279,12 +280,12 @@
         self.context.metrics.tokens.add(chunk.tokens.len() as u64, &[]);
         self.job.entry.push(chunk);
         if is_first {
-            let waited = self.context.clock.mono().since(self.job.accepted);
+            let waited = self.context.clock.monotonic().since(self.job.accepted);
             self.context.metrics.first_token_time.record(waited.as_secs_f64() * 1_000.0, &[]);
         }
         if self.is_running {
             let key = self.job.entry.key.clone();
-            self.report(schedule::Note::Tokens { key, tokens: self.tokens() });
+            self.report(schedule::RequestEvent::Tokens { key, tokens: self.tokens() });
         }
     }
 
@@ -296,7 +297,7 @@
     fn report_finished(&mut self, outcome: decide::Outcome) {
         if std::mem::take(&mut self.is_running) {
             let key = self.job.entry.key.clone();
-            self.report(schedule::Note::Finished { key, tokens: self.tokens(), outcome });
+            self.report(schedule::RequestEvent::Finished { key, tokens: self.tokens(), outcome });
         }
     }
 
@@ -317,9 +318,9 @@
         self.context.table.complete(&entry);
     }
 
-    fn report(&self, note: schedule::Note) {
+    fn report(&self, event: schedule::RequestEvent) {
         if let Some(shard) = &self.shard {
-            self.context.schedule.report(shard, note);
+            self.context.schedule.report(shard, event);
         }
     }
 
--- a/crates/daemon/src/coordinate/operations.rs
+++ b/crates/daemon/src/coordinate/operations.rs
@@ -13,7 +13,7 @@
     endpoints,
 };
 
-/// How long the followed coordinator waits for a chunk before it answers a read.
+/// How long the coordinator of an answer waits for a chunk before it answers a read call of a follower.
 const READ_WAIT: time::Duration = time::Duration::from_millis(1_000);
 /// How much longer than [`READ_WAIT`] the call may take.
 const READ_MARGIN: time::Duration = time::Duration::from_millis(2_000);
@@ -189,7 +189,7 @@
     coordinator: id::Incarnation,
     mut request: peer::ReadRequest,
 ) -> (Vec<Input>, Option<peer::ReadRequest>) {
-    let call = (context.links.read)(coordinator, request.clone(), READ_WAIT + READ_MARGIN);
+    let call = (context.peer_calls.read)(coordinator, request.clone(), READ_WAIT + READ_MARGIN);
     match call.await {
         Ok(peer::ReadAnswer::Chunks(chunks)) => {
             let tokens: usize = chunks.iter().map(|chunk| chunk.tokens.len()).sum();
--- a/crates/daemon/src/intents/forwarder.rs
+++ b/crates/daemon/src/intents/forwarder.rs
@@ -16,7 +16,7 @@
 /// The maximum number of calls in flight.
 const MAX_CALLS: usize = 64;
 
-/// The maximum number of records in one call, about 75 KB, and in the calls of one batch together.
+/// The maximum number of records that are collected at a time, and thus of one call; about 75 KB.
 const MAX_RECORDS: usize = 500;
 
 /// A record and the member that is to write it.
@@ -99,7 +99,7 @@
     match outcome {
         peer::CommitOutcome::Created => intents::Outcome::Created,
         peer::CommitOutcome::Exists(record) => intents::Outcome::Exists(record),
-        peer::CommitOutcome::Unsure => intents::Outcome::Unsure,
+        peer::CommitOutcome::Unsure => intents::Outcome::Unknown,
         peer::CommitOutcome::Unavailable => intents::Outcome::Unavailable,
         peer::CommitOutcome::Expired => intents::Outcome::Expired,
     }
@@ -110,7 +110,7 @@
     match outcome {
         intents::Outcome::Created => peer::CommitOutcome::Created,
         intents::Outcome::Exists(record) => peer::CommitOutcome::Exists(record),
-        intents::Outcome::Unsure => peer::CommitOutcome::Unsure,
+        intents::Outcome::Unknown => peer::CommitOutcome::Unsure,
         intents::Outcome::Unavailable => peer::CommitOutcome::Unavailable,
         intents::Outcome::Expired => peer::CommitOutcome::Expired,
     }
--- a/crates/daemon/src/intents/handle.rs
+++ b/crates/daemon/src/intents/handle.rs
@@ -51,7 +51,7 @@
         &self,
         key: &id::RequestKey,
         record: &request::Record,
-    ) -> coordinate::RecordOutcome {
+    ) -> coordinate::WriteOutcome {
         let row = intents::Row { key: key.clone(), record: record.clone() };
         let Some(queues) = self.wait_for_queues().await else {
             return self.record_through_peer(row).await.into();
@@ -66,21 +66,21 @@
             match outcome {
                 intents::Outcome::Created | intents::Outcome::Exists(_) => return outcome.into(),
                 intents::Outcome::Expired => break,
-                intents::Outcome::Unsure => unsure = true,
+                intents::Outcome::Unknown => unsure = true,
                 intents::Outcome::Unavailable => {}
             }
         }
         if unsure {
-            coordinate::RecordOutcome::Unsure
+            coordinate::WriteOutcome::Unsure
         } else {
-            coordinate::RecordOutcome::Unavailable
+            coordinate::WriteOutcome::Unavailable
         }
     }
 
     /// Looks a record up through the owner of its bucket, in this daemon, or through another peer.
     ///
     /// A record that is absent may still be created by a write in progress.
-    pub async fn look_up(&self, key: &id::RequestKey) -> coordinate::LookUp {
+    pub async fn look_up(&self, key: &id::RequestKey) -> coordinate::ReadOutcome {
         let queues = self.wait_for_queues().await;
         let candidates = match &queues {
             Some(queues) => self.candidates(queues, key),
@@ -92,10 +92,11 @@
                 _ => self.look_up_remotely(member, key).await,
             };
             if let Ok(found) = found {
-                return found.map_or(coordinate::LookUp::Absent, coordinate::LookUp::Found);
+                return found
+                    .map_or(coordinate::ReadOutcome::Absent, coordinate::ReadOutcome::Found);
             }
         }
-        coordinate::LookUp::Unavailable
+        coordinate::ReadOutcome::Unavailable
     }
 
     /// Registers the methods with which peers commit records and look records up.
@@ -149,7 +150,7 @@
         queues: &commit_queues::CommitQueues,
         key: &id::RequestKey,
     ) -> Vec<id::Incarnation> {
-        self.route.candidates(intents::Slot::owner_key(queues.layout.slot(key).bucket))
+        self.route.candidates(intents::Slot::owner_hash(queues.layout.slot(key).bucket))
     }
 
     /// Records a row through another member, because this daemon does not know the layout.
@@ -158,11 +159,11 @@
         for member in self.other_members(&row.key) {
             match self.commit_remotely(member, row.clone()).await {
                 intents::Outcome::Unavailable => {}
-                intents::Outcome::Unsure => unsure = true,
+                intents::Outcome::Unknown => unsure = true,
                 outcome => return outcome,
             }
         }
-        if unsure { intents::Outcome::Unsure } else { intents::Outcome::Unavailable }
+        if unsure { intents::Outcome::Unknown } else { intents::Outcome::Unavailable }
     }
 
     async fn commit_remotely(
@@ -174,7 +175,7 @@
         if self.forward.try_send((member, pending)).is_err() {
             return intents::Outcome::Unavailable;
         }
-        let outcome = outcome.await.unwrap_or(intents::Outcome::Unsure);
+        let outcome = outcome.await.unwrap_or(intents::Outcome::Unknown);
         if matches!(outcome, intents::Outcome::Created | intents::Outcome::Exists(_)) {
             self.availability.record_peer_success();
         }
@@ -207,7 +208,7 @@
         return intents::Outcome::Unavailable;
     }
     // A committer that ended without an answer may have written the record.
-    outcome.await.unwrap_or(intents::Outcome::Unsure)
+    outcome.await.unwrap_or(intents::Outcome::Unknown)
 }
 
 async fn look_up_locally(
--- a/crates/daemon/src/schedule/note.rs
+++ b/crates/daemon/src/schedule/request_event.rs
@@ -1,11 +1,11 @@
-//! Notes of coordinators on permitted requests.
+//! Events that coordinators report on permitted requests.
 
 use trefoildyke_decide::schedule;
 use trefoildyke_types::{id, request};
 
 /// An event of a permitted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum RequestEvent {
     /// The request was dispatched.
     Started {
         /// What was asked for.
@@ -50,14 +50,14 @@
     /// A report on a request that the scheduler permitted.
     Report(schedule::Report),
     /// A request that another scheduler permitted.
-    Adopt(schedule::Adopted),
+    Adopt(schedule::TakenOver),
 }
 
 impl From<Entry> for schedule::Input {
     fn from(entry: Entry) -> Self {
         match entry {
             Entry::Report(report) => Self::Report(report),
-            Entry::Adopt(adopted) => Self::Adopt(adopted),
+            Entry::Adopt(taken_over) => Self::TakeOver(taken_over),
         }
     }
 }
--- a/crates/decide/src/gateway/deadlines.rs
+++ b/crates/decide/src/gateway/deadlines.rs
@@ -8,7 +8,7 @@
 /// The deadlines of first-time callers differ by up to a seventh. A caller that was refused has
 /// waited, and then stayed away for a quarter of its remaining time. With a limit close to 1, two
 /// thirds of the callers of a site that had grown were taken for returning callers: they counted as
-/// late on arrival and waited behind nobody until their patience ended.
+/// late on arrival and were kept waiting, ahead of the other late requests, until they left.
 const RETURNING_FRACTION: f64 = 0.8;
 
 /// The longest deadline that callers have declared, by route.
@@ -20,7 +20,7 @@
 impl Deadlines {
     /// Returns how much of its time a caller has already spent, if it still waits for `remaining`;
     /// zero for a caller that comes for the first time.
-    pub fn spent(&mut self, route: &str, remaining: time::Duration) -> time::Duration {
+    pub fn time_spent(&mut self, route: &str, remaining: time::Duration) -> time::Duration {
         let Some(longest) = self.longest.get_mut(route) else {
             self.longest.insert(route.to_owned(), remaining);
             return time::Duration::ZERO;
--- a/crates/decide/src/gateway/message/placing.rs
+++ b/crates/decide/src/gateway/message/placing.rs
@@ -1,4 +1,4 @@
-//! Requests to another daemon for a place at an endpoint.
+//! Requests to another daemon for a slot at an endpoint.
 
 use std::time;
 
@@ -6,7 +6,7 @@
 
 use crate::gateway;
 
-/// Asks for a place at an endpoint, or reports that a request still waits for one.
+/// Asks for a slot at an endpoint, or reports that a request still waits for one.
 ///
 /// All times are in milliseconds from now, because the clocks of the hosts differ.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -44,11 +44,11 @@
 /// The result of an [`Ask`].
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum PlaceReply {
-    /// The request has a place.
+    /// The request was granted a slot.
     Granted {
         /// The endpoint.
         endpoint: id::EndpointName,
-        /// The number of places that the sender has granted to the receiver so far.
+        /// The number of slots that the sender has granted to the receiver so far.
         given: u64,
         /// The number of prompt tokens that the endpoint is assumed to process for the request.
         unread: u32,
@@ -63,8 +63,8 @@
     },
     /// The request is queued.
     Queued {
-        /// The time in milliseconds after which the caller should come back if the request gets no
-        /// place.
+        /// The time in milliseconds after which the caller should retry if the request gets no
+        /// slot.
         retry_ms: u32,
     },
     /// The request would wait too long.
@@ -77,46 +77,46 @@
 }
 
 impl Ask {
-    /// Creates a message that asks for a place for a request of `service`.
+    /// Creates a message that asks for a slot for a request of `service`.
     pub fn new(
         service: id::PoolName,
         number: u64,
         now: Timestamp,
-        demand: &gateway::Demand,
+        request: &gateway::PoolRequest,
     ) -> Self {
         let until = |moment: Timestamp| ms(moment.since(now));
         Self {
             service,
             number,
-            rank: demand.rank,
-            route: demand.route,
-            zone: demand.zone.clone(),
-            prompt: demand.prompt,
-            parts: demand.parts.clone(),
-            expected: demand.expected as f32,
-            gap_ms: ms(demand.gap),
-            objective_ms: until(demand.objective),
-            leaves_ms: until(demand.leaves),
-            deadline_ms: until(demand.deadline),
-            returning: demand.returning,
-            repeatable: demand.repeatable,
-            tried: demand.tried.clone(),
+            rank: request.rank,
+            route: request.route,
+            zone: request.zone.clone(),
+            prompt: request.prompt,
+            parts: request.parts.clone(),
+            expected: request.expected_tokens as f32,
+            gap_ms: ms(request.max_pause),
+            objective_ms: until(request.objective),
+            leaves_ms: until(request.leaves_at),
+            deadline_ms: until(request.deadline),
+            returning: request.returning,
+            repeatable: request.repeatable,
+            tried: request.tried.clone(),
         }
     }
 
-    /// Returns the demand, with times by the clock of the receiver.
-    pub fn demand(&self, now: Timestamp) -> gateway::Demand {
+    /// Returns the request to the pool, with times by the clock of the receiver.
+    pub fn pool_request(&self, now: Timestamp) -> gateway::PoolRequest {
         let after = |ms: u32| now + time::Duration::from_millis(u64::from(ms));
-        gateway::Demand {
+        gateway::PoolRequest {
             rank: self.rank,
             route: self.route,
             zone: self.zone.clone(),
             prompt: self.prompt,
             parts: self.parts.clone(),
-            expected: f64::from(self.expected),
-            gap: time::Duration::from_millis(u64::from(self.gap_ms)),
+            expected_tokens: f64::from(self.expected),
+            max_pause: time::Duration::from_millis(u64::from(self.gap_ms)),
             objective: after(self.objective_ms),
-            leaves: after(self.leaves_ms),
+            leaves_at: after(self.leaves_ms),
             deadline: after(self.deadline_ms),
             returning: self.returning,
             repeatable: self.repeatable,
--- a/crates/decide/src/gateway/pool/params.rs
+++ b/crates/decide/src/gateway/pool/params.rs
@@ -16,12 +16,13 @@
     /// The weight of the delay that reading a prompt causes to each stream running at the endpoint; 0.6.
     pub beside_weight: f64,
     /// The weight of the time to read again what a prompt evicts from an endpoint's prefix cache; 0.5.
-    pub displaced_weight: f64,
-    /// The part of the longest unnoticed pause of a stream that reading prompts at an endpoint may take;
+    #[serde(rename = "displaced_weight")]
+    pub eviction_weight: f64,
+    /// The fraction of the longest unnoticed pause of a stream that reading prompts at an endpoint may take;
     /// 0.6.
     pub pause_part: f64,
-    /// The weight, for each stream at the endpoint, of the time by which reading prompts exceeds that part;
-    /// 2.
+    /// The weight, for each stream at the endpoint, of the time by which reading prompts exceeds that
+    /// fraction; 2.
     pub pause_weight: f64,
     /// The cost of a slot of an endpoint that is twice as fast as the mean, in milliseconds; 300.
     ///
@@ -34,14 +35,14 @@
     pub zone_ms: f64,
     /// The cost of an answer that is certain to fail, in milliseconds; 3,000.
     pub failure_ms: f64,
-    /// The part of a request's remaining time that its predicted wait may take; 0.7.
+    /// The fraction of a request's remaining time that its predicted wait may take; 0.7.
     pub patience_part: f64,
     /// The number of slots from which a plain endpoint may have one more request queued at it while all
     /// slots are taken; 4.
     pub queue_slots: u32,
-    /// The part of the slots that requests of the last of several ranks leave free; 0.04.
+    /// The fraction of the slots that requests of the last of several ranks leave free; 0.04.
     pub reserve: f64,
-    /// The part of the remaining time that the expected answer may take; 1.
+    /// The fraction of the remaining time that the expected answer may take; 1.
     ///
     /// Callers' estimates are far too high or too low, so a lower value would exclude too many requests.
     pub feasible_part: f64,
@@ -54,7 +55,8 @@
     ///
     /// This is four fifths of what the smallest known engines have memory for; running requests use the
     /// rest.
-    pub kept_tokens: u32,
+    #[serde(rename = "kept_tokens")]
+    pub cache_tokens: u32,
     /// How long an endpoint with running requests may stay silent before it is suspected to have failed;
     /// 600 ms.
     ///
@@ -74,7 +76,7 @@
             prompt_ms: 1.0 / 38.0,
             first_weight: 2.0,
             beside_weight: 0.6,
-            displaced_weight: 0.5,
+            eviction_weight: 0.5,
             pause_part: 0.6,
             pause_weight: 2.0,
             fast_ms: 300.0,
@@ -86,7 +88,7 @@
             feasible_part: 1.0,
             first_ms: 60.0,
             least_retry_after: time::Duration::from_millis(300),
-            kept_tokens: 130_000,
+            cache_tokens: 130_000,
             silence: time::Duration::from_millis(600),
             pause: time::Duration::from_millis(400),
             longest_pause: time::Duration::from_secs(3),
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -25,8 +25,8 @@
         self.shared.now()
     }
 
-    /// Puts a version of the configuration in force; `as_of` is when the query was sent by which the source
-    /// confirmed it.
+    /// Puts a version of the configuration in force. `as_of` is the time at which the query was sent whose
+    /// answer confirmed the version.
     ///
     /// A version that is not newer than the one in force is ignored.
     pub fn configure(&self, config: gateway::Config, as_of: Option<Timestamp>) {
@@ -54,12 +54,12 @@
     }
 
     /// Replaces the list of endpoints by one that was read now.
-    pub fn endpoints(&self, list: Vec<gateway::RosterEntry>) {
+    pub fn set_endpoints(&self, list: Vec<gateway::RosterEntry>) {
         let now = self.now();
         self.change_endpoints(now, |roster| roster.replace(now, list));
     }
 
-    /// Applies the changes between the list with the mark `from` and one that was read at `read`.
+    /// Applies the changes between the list with the hash `from` and one that was read at `read`.
     pub(crate) fn apply_changes(
         &self,
         read: Timestamp,
@@ -67,7 +67,9 @@
         from: u64,
         changes: Vec<gateway::RosterChange>,
     ) {
-        self.change_endpoints(self.now(), |roster| roster.follow(read, since, from, changes));
+        self.change_endpoints(self.now(), |roster| {
+            roster.apply_changes(read, since, from, changes)
+        });
     }
 
     fn change_endpoints(
@@ -86,20 +88,20 @@
     }
 
     /// Records that the source of the endpoints did not answer.
-    pub fn endpoints_unknown(&self) {
+    pub fn record_endpoints_failure(&self) {
         self.shared.core().roster.failed();
     }
 
     /// Replaces the list of all daemons.
-    pub fn members(&self, list: &[gateway::Peer]) {
+    pub fn set_members(&self, list: &[gateway::Peer]) {
         let now = self.now();
         let mut core = self.shared.core();
         let before = core.mesh.others();
-        let (hubs, before_mark) = (core.mesh.hubs().to_vec(), core.mesh.hub_mark());
+        let (hubs, before_hash) = (core.mesh.hubs().to_vec(), core.mesh.hub_hash());
         let is_first = core.set_members(now, list);
         let (count, is_changed) = (core.mesh.count(), core.mesh.others() != before);
-        let hubs_changed = core.mesh.hub_mark() != before_mark;
-        let hub_mark = core.mesh.told_hub_mark(now);
+        let hubs_changed = core.mesh.hub_hash() != before_hash;
+        let hub_mark = core.mesh.reported_hub_hash(now);
         drop(core);
         if hubs_changed {
             self.shared.send(&gateway::Message::Hubs { hub_mark }, &hubs);
@@ -113,12 +115,12 @@
     }
 
     /// Records that this daemon's own membership entry lasts at least until `until`.
-    pub fn listed(&self, until: Timestamp) {
-        self.shared.core().mesh.note_entry(until);
+    pub fn extend_lease(&self, until: Timestamp) {
+        self.shared.core().mesh.extend_lease(until);
     }
 
-    /// Announces to all known daemons that this one is a member again: its entry had lapsed, and most of
-    /// them read the list of members later.
+    /// Announces to all known daemons that this one is a member again. Its entry had lapsed, and most of the
+    /// daemons would otherwise learn of the new entry only when they next read the list of members.
     pub fn rejoined(&self) {
         self.shared.core().rejoined = Some(self.now());
         self.shared.announce(state::DigestKind { starting: true, ..Default::default() });
@@ -135,31 +137,31 @@
     }
 
     /// Returns whether a message came since the last call from a daemon that is not a member.
-    pub fn take_stranger(&self) -> bool {
-        self.shared.core().mesh.take_stranger()
+    pub fn take_unlisted_heard(&self) -> bool {
+        self.shared.core().mesh.take_unlisted_heard()
     }
 
     /// Records whether the source answered this daemon's last call, which decides which daemons read the
     /// source for others.
-    pub fn answered(&self, is_answered: bool) {
+    pub fn record_store_answer(&self, is_answered: bool) {
         if self.shared.core().mesh.note_answer(is_answered) {
             self.shared.set_changed();
         }
     }
 
     /// Logs that a dependency of the daemon does not answer.
-    pub fn lost(&self, dependency: &'static str, reason: String) {
+    pub fn log_outage(&self, dependency: &'static str, reason: String) {
         self.shared.journal.write(&record::Event::Lost { dependency, reason });
     }
 
     /// Logs that a dependency answers again, after an outage of length `after`.
-    pub fn regained(&self, dependency: &'static str, after: time::Duration) {
+    pub fn log_recovery(&self, dependency: &'static str, after: time::Duration) {
         let after_ms = after.as_millis() as u64;
         self.shared.journal.write(&record::Event::Regained { dependency, after_ms });
     }
 
     /// Logs that the settings were read again.
-    pub fn reloaded(&self, detail: String) {
+    pub fn log_reload(&self, detail: String) {
         self.shared.journal.write(&record::Event::Reloaded { detail });
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,11 +9,11 @@
 
 use crate::{feed, gossip, ingress, metrics, monitoring, record, settings, state};
 
-/// How long a stopping gateway still serves new requests: until the load balancer has noticed, which probes
-/// once a second and gives up after two missed probes.
+/// How long a stopping gateway still serves new requests: until the load balancer, which probes once a second
+/// and gives up after two missed probes, has noticed the stop.
 const DRAIN_NOTICE: time::Duration = time::Duration::from_millis(3_000);
 
-/// The end of the grace period that is kept free for closing down.
+/// The last part of the grace period, which is reserved for closing connections.
 const CLOSE_TIME: time::Duration = time::Duration::from_millis(250);
 
 /// A running gateway.
@@ -83,7 +83,7 @@
     /// progress end or the grace period is over.
     pub async fn stop(&self) -> usize {
         let started = tokio::time::Instant::now();
-        let limit = started + self.shared.settings.grace.saturating_sub(CLOSE_TIME);
+        let limit = started + self.shared.settings.stop_grace.saturating_sub(CLOSE_TIME);
         let active = self.shared.gate.in_progress();
         self.shared.journal.write(&record::Event::Stopping { active });
         self.shared.begin_stop(limit.saturating_duration_since(started));
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -12,8 +12,8 @@
 /// reachable.
 const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// The shortest interval between two digests with quota usage. What the second keeper of an account's
-/// bucket does not know yet when it takes over stays within the permitted excess.
+/// The shortest interval between two digests with quota usage. When the second keeper of an account's bucket
+/// takes over, it may lack the usage of this interval, which is within the permitted excess.
 const MIN_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// How often hubs send each other a full digest, for those that missed a digest or have just started.
@@ -37,7 +37,7 @@
     shutdown: tokio_sync::CancellationToken,
 ) -> std::io::Result<()> {
     let mut buffer = vec![0; MAX_DATAGRAM];
-    let mut tick = tokio::time::interval(shared.settings.exchange);
+    let mut tick = tokio::time::interval(shared.settings.gossip_interval);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut schedule = SendSchedule::new();
     loop {
@@ -104,15 +104,15 @@
     match rmp_serde::from_slice(bytes) {
         Ok(gateway::Message::Digest(digest)) => {
             shared.update(|core| core.handle_digest(shared.now(), from, &digest));
-            // A daemon that starts or leaves announces this to all daemons, which must not all reply.
+            // The announcement of a start or a stop goes to all daemons; they must not all reply.
             if !digest.starting && !digest.leaving && shared.core().mesh.is_member(from) {
                 shared.sync_crashes(from, digest.quarantine);
                 shared.sync_rollouts(from, digest.rollouts);
             }
         }
         Ok(message) if !shared.core().mesh.is_member(from) => {
-            shared.core().mesh.hear(from);
-            log::debug!("ignoring a message from {from}, which is not a member: {message:?}");
+            shared.core().mesh.record_reply(from);
+            log::debug!("a message from {from}, which is no member, is ignored: {message:?}");
         }
         Ok(gateway::Message::Load(report)) => {
             shared.update(|core| core.handle_load(shared.now(), from, &report));
@@ -123,7 +123,7 @@
         }
         Ok(gateway::Message::Placed(placed)) => shared.update(|core| {
             let service = placed.service.clone();
-            core.mesh.hear(from);
+            core.mesh.record_reply(from);
             core.service(&service).handle_placed(shared.now(), from, placed);
         }),
         Ok(gateway::Message::Charge(charge)) => {
@@ -133,7 +133,7 @@
             shared.send(&gateway::Message::Charged { number, reply }, &[from]);
         }
         Ok(gateway::Message::Charged { number, reply }) => {
-            shared.core().mesh.hear(from);
+            shared.core().mesh.record_reply(from);
             charging::handle_reply(shared, from, number, reply);
         }
         Ok(gateway::Message::Refund { account, cost }) => {
@@ -146,7 +146,7 @@
             shared.handle_crashes(from, &crashes, asks);
         }
         Ok(gateway::Message::Hubs { hub_mark }) => {
-            shared.core().mesh.note_hub_mark(from, hub_mark);
+            shared.core().mesh.note_hub_hash(from, hub_mark);
         }
         Ok(gateway::Message::Rollouts { rollouts, asks }) => {
             shared.handle_rollouts(from, &rollouts, asks);
@@ -162,12 +162,12 @@
         }
         Ok(gateway::Message::Reply { stamp, view, answered, changes }) => {
             let mut core = shared.core();
-            core.mesh.hear(from);
+            core.mesh.record_reply(from);
             core.mesh.note_member_answer(shared.now(), from, answered);
             drop(core);
             // A reply to a query that has timed out is discarded, because its age is unknown.
             let _ = shared.queries.replies.complete(stamp, query::Reply { view, changes });
         }
-        Err(error) => log::debug!("cannot decode {} bytes from {from}: {error}", bytes.len()),
+        Err(error) => log::debug!("{} bytes from {from} are no message: {error}", bytes.len()),
     }
 }
--- a/crates/gateway/src/ingress/driver/end.rs
+++ b/crates/gateway/src/ingress/driver/end.rs
@@ -14,13 +14,13 @@
     record,
 };
 
-/// The share of the time left that a refused caller is asked to stay away. Callers obey a longer
-/// `Retry-After` only up to a third of the time left.
+/// The share of the time left for which a refused caller is asked to wait before it retries. Callers obey a
+/// `Retry-After` only up to a third of their time left.
 const RETRY_SHARE: std::ops::Range<f64> = 0.24..0.32;
 
 impl Driver {
     /// Decides and logs what follows a failed send.
-    pub(crate) fn handle_failure(&mut self, failed: &FailedSend) -> gateway::Next {
+    pub(crate) fn handle_failure(&mut self, failed: &FailedSend) -> gateway::RetryAction {
         // A request that crashes endpoints takes down one endpoint after another unless all daemons learn
         // of each crash.
         if failed.failure == gateway::Failure::Cut
@@ -51,10 +51,14 @@
                 .map_or_else(|| "".into(), |grant| grant.endpoint.clone()),
             after_ms: self.shared.now().since(self.sent_at).as_millis() as u64,
             failure: failed.failure,
-            ends: self.shared.core().quarantine.ends(self.shared.now(), self.call.fingerprint),
+            ends: self
+                .shared
+                .core()
+                .quarantine
+                .crash_count(self.shared.now(), self.call.fingerprint),
             detail: failed.detail.clone(),
             next,
-            repeats: usage.repeats,
+            repeats: usage.retries,
             repeat_limit: usage.limit,
         });
         next
@@ -63,11 +67,11 @@
     /// Answers a request that is not sent again.
     pub(super) fn finish(
         mut self,
-        next: gateway::Next,
+        next: gateway::RetryAction,
         failed: &FailedSend,
         last: Option<Box<hyper::Response<ingress::Body>>>,
     ) -> hyper::Response<ingress::Body> {
-        if next == gateway::Next::NotRun {
+        if next == gateway::RetryAction::NotRun {
             self.refund();
             let reply = ingress::Reply::not_run("not_sent", self.retry_hint());
             return refuse(&mut self.access, reply);
@@ -110,8 +114,8 @@
 
     /// Returns a random share of the caller's time left, as the `Retry-After` of a refusal.
     ///
-    /// The latency objective is already missed, so it only matters that the caller is served at its single
-    /// retry: bursts last a few seconds, and callers that were refused together must not return together.
+    /// The latency objective is already missed, so the delay only has to make the caller's single retry
+    /// succeed: bursts last a few seconds, and callers that were refused together must not return together.
     fn jitter(&self) -> time::Duration {
         let left = self.call.deadline.since(self.shared.now());
         left.mul_f64(rand::random_range(RETRY_SHARE))
--- a/crates/gateway/src/ingress/driver/mod.rs
+++ b/crates/gateway/src/ingress/driver/mod.rs
@@ -12,18 +12,18 @@
 
 use crate::{ingress, placing, record, relay, state, upstream};
 
-/// The share of the time until its caller leaves that a request waits for a slot; after that, the caller is
-/// asked to retry after the burst.
+/// The share of the time until its caller leaves for which a request waits for a slot; after that, the caller
+/// is asked to retry after the burst.
 const WAIT_SHARE: f64 = 0.75;
 
-/// The same share for a caller that will not retry: only the time for the first event is kept free.
+/// The same share for a caller that will not retry; the rest is left for the first event.
 const LAST_WAIT_SHARE: f64 = 0.92;
 
 /// The `Retry-After` for a caller that came during a stop; its next connection reaches another host.
 const STOPPING_RETRY: time::Duration = time::Duration::from_millis(100);
 
-/// The share of the time left until a stop cuts off requests that the expected answer may take. Callers'
-/// estimates are right at the median only, and answers are often twice as long.
+/// An answer may be expected to take at most this share of the time left until a stop cuts off the remaining
+/// requests. Callers' estimates are only right at the median, and answers are often twice as long.
 const STOPPING_SHARE: f64 = 0.5;
 
 /// Handles one admitted request.
@@ -73,7 +73,7 @@
 pub(crate) enum NoSlot {
     /// It would wait too long.
     Overload(time::Duration),
-    /// It crashes endpoints.
+    /// The request crashes endpoints.
     Quarantined(time::Duration),
 }
 
@@ -108,9 +108,12 @@
         pass: kernel::Pass,
     ) -> Self {
         let is_idempotent = call.kind.is_idempotent();
-        let repeat =
-            if is_idempotent { gateway::Repeat::Idempotent } else { gateway::Repeat::Never };
-        let attempt = gateway::Attempt::new(repeat, call.attempts);
+        let policy = if is_idempotent {
+            gateway::RetryPolicy::Idempotent
+        } else {
+            gateway::RetryPolicy::Never
+        };
+        let attempt = gateway::Attempt::new(policy, call.attempts);
         let sent_at = shared.now();
         Self {
             shared,
@@ -149,7 +152,7 @@
             };
             last = failed.response.take().or(last);
             match self.handle_failure(&failed) {
-                gateway::Next::Again => {}
+                gateway::RetryAction::Again => {}
                 next => return self.finish(next, &failed, last),
             }
         }
@@ -173,8 +176,8 @@
         let now = self.shared.now();
         let service = self.call.service.clone();
         let share = if self.call.returning { LAST_WAIT_SHARE } else { WAIT_SHARE };
-        let end = tokio::time::Instant::now() + self.call.leaves.since(now).mul_f64(share);
-        let placement = placing::place(&self.shared, &service, self.demand(), end).await;
+        let end = tokio::time::Instant::now() + self.call.leaves_at.since(now).mul_f64(share);
+        let placement = placing::place(&self.shared, &service, self.pool_request(), end).await;
         self.access.set_placer(placement.placer);
         let grant = placement.result.map_err(NoSlot::Overload)?;
         let shared = sync::Arc::clone(&self.shared);
@@ -194,17 +197,17 @@
             .map_or(Ok(()), |left| Err(NoSlot::Quarantined(left)))
     }
 
-    fn demand(&self) -> gateway::Demand {
-        gateway::Demand {
+    fn pool_request(&self) -> gateway::PoolRequest {
+        gateway::PoolRequest {
             rank: self.call.rank,
             route: self.call.route,
             zone: self.shared.settings.zone.clone(),
             prompt: self.call.prompt,
             parts: self.call.parts.clone(),
-            expected: self.call.expected,
-            gap: self.call.gap,
+            expected_tokens: self.call.expected,
+            max_pause: self.call.max_pause,
             objective: self.call.objective,
-            leaves: self.call.leaves,
+            leaves_at: self.call.leaves_at,
             deadline: self.call.answer_due,
             returning: self.call.returning,
             repeatable: self.call.kind.is_idempotent(),
@@ -236,7 +239,7 @@
             unread: grant.prompt,
             waited_ms: waited,
             first_ms: grant.first_ms,
-            beside: grant.beside,
+            beside: grant.running,
             age_ms: grant.age_ms,
         });
     }
--- a/crates/gateway/src/record/event.rs
+++ b/crates/gateway/src/record/event.rs
@@ -5,7 +5,7 @@
 
 /// What a request asked for: the inputs of the decisions on its quota, rank and slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Asked {
+pub struct RequestInputs {
     /// Identifies repeats of the same request; `None` if it was refused before it was read.
     pub fingerprint: Option<gateway::Fingerprint>,
     /// The rank in the queue; `None` if it was refused before it had one.
@@ -22,10 +22,10 @@
     pub objective_ms: u64,
 }
 
-/// The measurements of a version on trial.
+/// The measurements of a canary version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Tried {
-    /// Requests that were placed since the trial began.
+pub struct TrialStats {
+    /// Requests that were placed since the canary started.
     pub placed: u64,
     /// Those of them that went to the new version.
     pub tried: u64,
@@ -95,7 +95,7 @@
         routes: usize,
         /// The number of client accounts.
         accounts: usize,
-        /// The age of the version's confirmation, in milliseconds; `None` if others confirm it.
+        /// The age of the version's confirmation, in milliseconds; `None` if it came without one.
         age_ms: Option<u64>,
     },
     /// An endpoint is listed, or its entry has changed.
@@ -181,7 +181,7 @@
         /// What happened on the connection.
         detail: String,
         /// What is done next.
-        next: gateway::Next,
+        next: gateway::RetryAction,
         /// Repeats this daemon counts for the service in the current retry budget window, including
         /// any granted for this failure.
         repeats: usize,
@@ -210,7 +210,7 @@
         decided: bool,
         /// The measurements on which the decision is based.
         #[serde(flatten)]
-        seen: Option<Tried>,
+        seen: Option<TrialStats>,
     },
     /// A stream was resumed at another endpoint.
     Resumed {
@@ -233,7 +233,7 @@
         version: u64,
         /// What the request asked for; empty if it was refused before that was read.
         #[serde(flatten)]
-        asked: Asked,
+        asked: RequestInputs,
         /// The other daemon that granted or refused its last slot, by its address for messages.
         placer: Option<std::net::SocketAddr>,
         /// How it ended.
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -2,7 +2,7 @@
 //!
 //! The daemon that places a service's requests decides. A daemon that learns something new of a rollout
 //! tells all others if it made the decision or read it from the store. A daemon that missed this notices it
-//! by the rollout mark in the queries about the store.
+//! by the hash of the rollouts in the queries about the store.
 
 use std::net;
 
@@ -12,14 +12,14 @@
 
 impl feed::Feed {
     /// Handles the rollouts in the store: the orders, and the stages they have reached.
-    pub fn rollouts(&self, rollouts: &[gateway::Rollout]) {
+    pub fn apply_rollouts(&self, rollouts: &[gateway::Rollout]) {
         let changes = self.shared.apply_rollouts(rollouts);
         if !changes.is_empty() {
             self.shared.broadcast_rollouts(&changes);
         }
     }
 
-    /// Returns whether a rollout is known whose stage is not.
+    /// Returns whether a rollout is known only by its order, without any later stage.
     pub fn has_bare_order(&self) -> bool {
         let known = self.shared.core().rollouts.list(self.now());
         known.iter().any(|rollout| rollout.stage == gateway::Stage::Ordered)
@@ -36,7 +36,7 @@
     }
 
     /// Applies a stage that was stored.
-    pub fn rollout_written(&self, rollout: &gateway::Rollout) {
+    pub fn record_stored_rollout(&self, rollout: &gateway::Rollout) {
         self.shared.apply_decision(rollout);
     }
 }
@@ -46,7 +46,7 @@
     pub(crate) fn stop_bad_rollouts(&self) {
         let now = self.now();
         let core = self.core();
-        if core.rollouts.mark() == 0 {
+        if core.rollouts.hash() == 0 {
             return;
         }
         let services: Vec<_> = core.rollouts.services().cloned().collect();
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Sends the rollouts known here to a daemon whose rollout mark `mark` differs.
-    pub(crate) fn sync_rollouts(&self, from: net::SocketAddr, mark: u64) {
-        if self.core().rollouts.mark() != mark {
+    /// Sends the rollouts known here to a daemon whose hash of the known rollouts, `hash`, differs.
+    pub(crate) fn sync_rollouts(&self, from: net::SocketAddr, hash: u64) {
+        if self.core().rollouts.hash() != hash {
             self.send_rollouts(from, true);
         }
     }
@@ -125,7 +125,12 @@
         self.send(&gateway::Message::Rollouts { rollouts, asks: false }, &others);
     }
 
-    fn log_rollout(&self, rollout: &gateway::Rollout, decided: bool, seen: Option<record::Tried>) {
+    fn log_rollout(
+        &self,
+        rollout: &gateway::Rollout,
+        decided: bool,
+        seen: Option<record::TrialStats>,
+    ) {
         self.metrics.rollout(rollout.service.as_str(), rollout.stage);
         let rollout = rollout.clone();
         self.journal.write(&record::Event::Rollout { rollout, decided, seen });
@@ -137,13 +142,13 @@
     pool: &gateway::Pool,
     now: trefoildyke_types::time::Timestamp,
     rollout: &gateway::Rollout,
-) -> record::Tried {
-    let ((placed, tried), [(usual, new), (usual_late, new_late)]) = pool.tried();
-    let evidence = match pool.finding(now, &rollout.to).comparison {
+) -> record::TrialStats {
+    let ((placed, tried), [(usual, new), (usual_late, new_late)]) = pool.canary_request_counts();
+    let evidence = match pool.rollout_status(now, &rollout.to).comparison {
         gateway::Comparison::Bad { evidence } => Some(evidence),
         _ => None,
     };
-    record::Tried {
+    record::TrialStats {
         placed,
         tried,
         usual_answers: usual.count,
--- a/crates/gateway/src/state/shared.rs
+++ b/crates/gateway/src/state/shared.rs
@@ -46,7 +46,7 @@
         metrics: metrics::Metrics,
     ) -> Self {
         let core = sync::Mutex::new(state::Core::new(&settings, rand::random()));
-        let connections = upstream::ConnectionPool::new(settings.connect);
+        let connections = upstream::ConnectionPool::new(settings.connect_timeout);
         Self {
             settings,
             clock: clock::Clock::start(),
@@ -88,7 +88,7 @@
                     let _ = socket.try_send_to(&bytes, *other);
                 }
             }
-            Err(error) => log::error!("cannot encode a message to the other daemons: {error}"),
+            Err(error) => log::error!("a message to the other daemons is not sent: {error}"),
         }
     }
 
@@ -141,7 +141,7 @@
         let now = self.now();
         self.update(|core| {
             let decided = core.service(service);
-            decided.pool.end(now, grant, prompt, outcome);
+            decided.pool.end_request(now, grant, prompt, outcome);
             decided.dispatch(now);
             core.report(now, service);
         });
@@ -191,7 +191,7 @@
 
     /// Records that another daemon is not to be asked for a while.
     pub(crate) fn suspect_peer(&self, peer: std::net::SocketAddr, reason: &'static str) {
-        self.core().mesh.doubt(self.now(), peer);
+        self.core().mesh.record_timeout(self.now(), peer);
         self.journal.write(&record::Event::PeerDoubted { peer, reason });
     }
 
@@ -217,7 +217,7 @@
         let now = self.now();
         let core = self.core();
         let is_known = core.table.is_some() && !core.roster.is_empty();
-        let is_fresh = core.freshness.is_within(now, self.settings.ready_age);
+        let is_fresh = core.freshness.is_within(now, self.settings.max_ready_age);
         (is_known && is_fresh && !self.is_stopping(), core.freshness.age(now))
     }
 }
--- a/crates/spec/src/attempts.rs
+++ b/crates/spec/src/attempts.rs
@@ -1,23 +1,23 @@
-//! Attempts: an opaque request that is sent to endpoints, whatever becomes of each send.
+//! Model of attempts: an opaque request is sent to endpoints, and each send may end in any way.
 //!
-//! One request is at one gateway. Each send may reach its endpoint or not; what reached it may run
-//! at once, later or never; and the gateway may be told anything that fits. What follows is decided
-//! by the gateway's own function.
+//! One gateway holds one request. Each send may or may not reach its endpoint; a request that reached
+//! it may run at once, later or never; and the gateway may observe any failure consistent with that.
+//! The gateway's own function decides whether to retry.
 
 use std::fmt;
 
-use trefoildyke_decide::gateway::{Attempt, Failure, Next, Repeat};
+use trefoildyke_decide::gateway::{Attempt, Failure, RetryAction, RetryPolicy};
 
 use crate::{explore, invariant::Invariant};
 
-/// States the size of the model and the guards.
+/// The size of the model and which guards are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// How often the request is sent at most.
+    /// The most times that the request is sent.
     pub sends: u32,
-    /// At how many endpoints it may run.
+    /// The most endpoints at which the request may run.
     pub runs: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Whether a send counts as unsent only if no byte of it was written.
     pub unwritten: bool,
@@ -25,21 +25,21 @@
     pub identified: bool,
 }
 
-/// Says what became of the request at one endpoint.
+/// What happened to the request at one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Truth {
-    /// It never arrived, or was rejected.
+    /// The request never arrived, or was rejected.
     Never,
-    /// It has arrived and may still run.
+    /// The request has arrived and may still run.
     Pending,
-    /// It has run.
+    /// The request has run.
     Ran,
 }
 
-/// Names one step.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A send fails in this way; this is what became of the request there.
+    /// A send fails: what happened at the endpoint, and the failure that the gateway observes.
     Fail(Truth, Failure),
     /// A request that was pending runs.
     Run,
@@ -50,37 +50,39 @@
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Fail(truth, failure) => write!(f, "a send is {truth:?} there, told {failure:?}"),
-            Self::Run => f.write_str("what was pending runs"),
+            Self::Fail(truth, failure) => {
+                write!(f, "a send fails as {failure:?}, at the endpoint: {truth:?}")
+            }
+            Self::Run => f.write_str("a pending request runs"),
             Self::Spend => f.write_str("the retry budget is spent"),
         }
     }
 }
 
-/// Holds the state of everything.
+/// The complete state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     attempt: Attempt,
     sends: Vec<Truth>,
     has_budget: bool,
-    /// What the caller was told in the end.
-    told: Option<Next>,
+    /// The final result that the caller was told, if any.
+    told: Option<RetryAction>,
 }
 
 /// Explores every state within the bounds.
 pub fn explore(bounds: &Bounds) -> explore::Report {
-    explore::explore(&first(bounds), |world| next(bounds, world), |world| check(bounds, world))
+    explore::explore(&initial(bounds), |world| next(bounds, world), |world| check(bounds, world))
 }
 
-/// Returns the shortest steps to a caller that is told so.
-pub fn reach(bounds: &Bounds, told: Next) -> Option<Vec<String>> {
+/// Returns the shortest sequence of steps to a state in which the caller was told `told`.
+pub fn reach(bounds: &Bounds, told: RetryAction) -> Option<Vec<String>> {
     let is_told = |world: &World| world.told == Some(told);
-    explore::reach(&first(bounds), |world| next(bounds, world), is_told)
+    explore::reach(&initial(bounds), |world| next(bounds, world), is_told)
 }
 
-fn first(bounds: &Bounds) -> World {
-    let repeat = if bounds.idempotent { Repeat::Idempotent } else { Repeat::Never };
-    let attempt = Attempt::new(repeat, bounds.runs);
+fn initial(bounds: &Bounds) -> World {
+    let policy = if bounds.idempotent { RetryPolicy::Idempotent } else { RetryPolicy::Never };
+    let attempt = Attempt::new(policy, bounds.runs);
     World { attempt, sends: vec![], has_budget: true, told: None }
 }
 
@@ -89,45 +91,45 @@
     if !bounds.idempotent && runs > 1 {
         return Some(Invariant::NonIdempotentRunsOnce);
     }
-    (world.told == Some(Next::NotRun) && runs > 0).then_some(Invariant::TruthfulRefusal)
+    (world.told == Some(RetryAction::NotRun) && runs > 0).then_some(Invariant::TruthfulRefusal)
 }
 
 fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut found = vec![];
+    let mut successors = vec![];
     if world.has_budget {
         let mut spent = world.clone();
         spent.has_budget = false;
-        found.push((Step::Spend, spent));
+        successors.push((Step::Spend, spent));
     }
     if let Some(place) = world.sends.iter().position(|truth| *truth == Truth::Pending) {
         let mut ran = world.clone();
         ran.sends[place] = Truth::Ran;
-        found.push((Step::Run, ran));
+        successors.push((Step::Run, ran));
     }
     if world.told.is_some() || world.sends.len() as u32 >= bounds.sends {
-        return found;
+        return successors;
     }
     for truth in [Truth::Never, Truth::Pending, Truth::Ran] {
-        for failure in possible(bounds, truth) {
-            found.push((Step::Fail(truth, failure), fail(world, truth, failure)));
+        for failure in possible_failures(bounds, truth) {
+            successors.push((Step::Fail(truth, failure), fail(world, truth, failure)));
         }
     }
-    found
+    successors
 }
 
-/// Returns what the gateway may be told of a send that came to this.
-fn possible(bounds: &Bounds, truth: Truth) -> Vec<Failure> {
-    let mut possible = vec![Failure::Lost, Failure::Cut];
+/// Returns the failures that the gateway may observe for a send with this outcome.
+fn possible_failures(bounds: &Bounds, truth: Truth) -> Vec<Failure> {
+    let mut failures = vec![Failure::Lost, Failure::Cut];
     if truth == Truth::Never || !bounds.unwritten {
-        possible.push(Failure::NotSent);
+        failures.push(Failure::NotSent);
     }
     if truth == Truth::Never || !bounds.identified {
-        possible.push(Failure::Rejected);
+        failures.push(Failure::Rejected);
     }
     if truth == Truth::Ran {
-        possible.push(Failure::Failed);
+        failures.push(Failure::Failed);
     }
-    possible
+    failures
 }
 
 fn fail(world: &World, truth: Truth, failure: Failure) -> World {
@@ -136,6 +138,6 @@
     world.attempt.sent();
     let has_budget = world.has_budget;
     let next = world.attempt.failed(failure, || has_budget);
-    world.told = (next != Next::Again).then_some(next);
+    world.told = (next != RetryAction::Again).then_some(next);
     world
 }
--- a/crates/spec/src/orders/next.rs
+++ b/crates/spec/src/orders/next.rs
@@ -1,42 +1,44 @@
-//! Which steps are possible in a state.
+//! The transition relation: the steps that are possible in a state.
 
 use std::collections;
 
 use trefoildyke_decide::orders;
 
 use crate::orders::{
-    Bounds, Call, Daemon, Lease, Sending, Step, World, bounds::SETTLE, daemon, daemon::timestamp,
+    Bounds, Call, Daemon, Lease, Sending, Step, World, bounds::SETTLE_TIME, daemon,
+    daemon::timestamp,
 };
 
-/// Collects the steps that are possible in one state.
+/// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
-    found: Vec<(Step, World)>,
+    successors: Vec<(Step, World)>,
 }
 
-/// Returns every step that is possible in a state, with the state that it leads to.
+/// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut steps = Steps { bounds, world, found: vec![] };
+    let mut steps = Steps { bounds, world, successors: vec![] };
     for (number, daemon) in world.daemons.iter().enumerate() {
         steps.daemon(number, daemon);
     }
     steps.orders();
     steps.clock();
-    steps.found
+    steps.successors
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&mut World)) {
         let mut world = self.world.clone();
         change(&mut world);
-        self.found.push((step, world));
+        self.successors.push((step, world));
     }
 
-    /// The clock goes on only once every order that must have taken effect by now has, or never.
+    /// Advances the clock, unless an order in flight has reached the end of its settle time: such an order
+    /// must first take effect or be lost.
     fn clock(&mut self) {
         let now = self.world.now;
-        let waits = self.world.orders.iter().any(|(written, _)| written + SETTLE <= now);
+        let waits = self.world.orders.iter().any(|(written, _)| written + SETTLE_TIME <= now);
         if now < self.bounds.end && !waits {
             self.add(Step::Clock(now + 1), |world| world.now += 1);
         }
@@ -71,8 +73,8 @@
         });
         self.add(Step::Serve(number), |world| {
             let answer = match call {
-                Call::Renew(begun) => renew(world, number, ttl, *begun),
-                Call::Acquire(begun) => acquire(world, number, ttl, *begun),
+                Call::Renew(call_start) => renew(world, number, ttl, *call_start),
+                Call::Acquire(call_start) => acquire(world, number, ttl, *call_start),
                 Call::Answer(input) => input.clone(),
             };
             world.daemons[number].call = Some(Call::Answer(answer));
@@ -82,21 +84,21 @@
     fn send(&mut self, number: usize, sending: &Sending) {
         let now = self.world.now;
         let key = sending.key.clone();
-        let Some(looked) = sending.looked else {
-            if self.bounds.looks && timestamp(now) >= sending.stop {
+        let Some(checked_at) = sending.checked_at else {
+            if self.bounds.rechecks_clock && timestamp(now) >= sending.send_deadline {
                 self.add(Step::Refrain(number), |world| {
                     end_sending(world, number, key, orders::SendResult::NotSent);
                 });
             } else {
                 self.add(Step::Look(number), |world| {
                     if let Some(sending) = &mut world.daemons[number].sending {
-                        sending.looked = Some(now);
+                        sending.checked_at = Some(now);
                     }
                 });
             }
             return;
         };
-        if now - looked <= self.bounds.pause {
+        if now - checked_at <= self.bounds.pause {
             let fence = sending.fence;
             self.add(Step::Write(number), |world| {
                 world.orders.push((now, fence));
@@ -119,7 +121,7 @@
     }
 }
 
-fn acquire(world: &mut World, daemon: usize, ttl: u64, begun: u64) -> orders::Input {
+fn acquire(world: &mut World, daemon: usize, ttl: u64, call_start: u64) -> orders::Input {
     if world.lease.is_some_and(|lease| world.now < lease.end) {
         return orders::Input::NotAcquired;
     }
@@ -128,15 +130,15 @@
     world.lease = Some(Lease { daemon, token, end: world.now + ttl });
     let ended = collections::BTreeSet::new();
     let version = daemon::VERSION;
-    orders::Input::Acquired { token, begun: timestamp(begun), version, ended }
+    orders::Input::Acquired { token, call_start: timestamp(call_start), version, ended }
 }
 
-fn renew(world: &mut World, daemon: usize, ttl: u64, begun: u64) -> orders::Input {
+fn renew(world: &mut World, daemon: usize, ttl: u64, call_start: u64) -> orders::Input {
     let now = world.now;
     match &mut world.lease {
         Some(lease) if lease.daemon == daemon && now < lease.end => {
             lease.end = now + ttl;
-            orders::Input::Renewed { begun: timestamp(begun) }
+            orders::Input::Renewed { call_start: timestamp(call_start) }
         }
         _ => orders::Input::LeaseGone,
     }
@@ -153,7 +155,7 @@
     world.daemons[daemon].step(now, orders::Input::Sent { key, result });
 }
 
-/// Lets an order take effect, unless the engine checks tokens and has seen a newer one.
+/// Applies an order, unless the engine checks fencing tokens and has seen a newer one.
 fn take_effect(world: &mut World, checks: bool, fence: u64) {
     let newest = world.effects.last().copied().unwrap_or(0);
     if checks && fence < newest {
--- a/crates/spec/src/requests/effects.rs
+++ b/crates/spec/src/requests/effects.rs
@@ -1,4 +1,5 @@
-//! What one step does to the state: the daemon's own functions decide, the model carries out.
+//! The effects of a step on the state: the daemon's own functions decide, and the model applies the
+//! actions that they return.
 
 use std::mem;
 
@@ -13,7 +14,7 @@
 const PERMIT_MS: u64 = 100;
 const FINGERPRINT: u64 = 1;
 
-/// Lets the caller's request arrive at a daemon.
+/// Delivers the caller's request to a daemon.
 pub(super) fn arrive(bounds: &Bounds, world: &mut World, daemon: usize, up: bool) {
     world.caller.attempts += 1;
     world.caller.at = Some(daemon);
@@ -25,7 +26,7 @@
     }
 }
 
-/// Hands an input to the daemon's request and carries out what it wants done.
+/// Passes an input to the daemon's request and performs the actions that it returns.
 pub(super) fn feed(
     bounds: &Bounds,
     world: &mut World,
@@ -34,19 +35,19 @@
     late: bool,
 ) {
     let late = late && bounds.guards.expiry;
-    let mono = time::Timestamp::from_millis(if late { 2 * PERMIT_MS } else { 0 });
+    let monotonic = time::Timestamp::from_millis(if late { 2 * PERMIT_MS } else { 0 });
     let checked = bounds.guards.recheck;
     let unix_ms = if checked { world.unix_ms(daemon) } else { world::CREATED_MS };
     let Some(request) = &mut world.daemon(daemon).request else {
         return;
     };
-    let input = if bounds.guards.nonce { input } else { take_as_own(input, request.nonce()) };
-    let actions = request.step(coordinate::Now { mono, unix_ms }, input);
+    let input = if bounds.guards.nonce { input } else { with_own_nonce(input, request.nonce()) };
+    let actions = request.step(coordinate::Now { monotonic, unix_ms }, input);
     perform(bounds, world, daemon, actions);
 }
 
-/// Returns the last chunk of a daemon's request.
-pub(super) fn whole(request: &coordinate::RequestState) -> coordinate::Input {
+/// Returns the last chunk of the answer to a daemon's request, which completes the answer.
+pub(super) fn last_chunk(request: &coordinate::RequestState) -> coordinate::Input {
     coordinate::Input::Chunk(request::Chunk {
         id: request.key().id,
         offset: request.offset(),
@@ -96,7 +97,7 @@
         policy: bounds.policy,
         retention_ms: retention_ms(bounds),
         skew_ms: 0,
-        local: kept.map(|request| coordinate::Local { fingerprint: request.fingerprint() }),
+        local: kept.map(|request| coordinate::LocalRequest { fingerprint: request.fingerprint() }),
     }
 }
 
@@ -109,7 +110,7 @@
         return;
     };
     if bounds.guards.join {
-        request.join(arrival.may_be_second());
+        request.join(arrival.may_be_retry());
     }
     let told = match request.phase() {
         coordinate::Phase::Answered => Told::Answer,
@@ -133,18 +134,18 @@
     let Some(id) = world.caller.id else {
         return;
     };
-    let opening = coordinate::Opening {
+    let initial = coordinate::InitialState {
         key: id::RequestKey { account: "a".into(), id },
         fingerprint: FINGERPRINT,
         own: world::incarnation(daemon),
         nonce: id::Nonce(world.nonce),
-        second: arrival.may_be_second(),
+        maybe_retry: arrival.may_be_retry(),
         resumable: true,
         offset: 0,
         retention_ms: retention_ms(bounds),
     };
     world.nonce += 1;
-    let (request, actions) = coordinate::RequestState::start(opening, admission);
+    let (request, actions) = coordinate::RequestState::start(initial, admission);
     world.daemon(daemon).request = Some(request);
     perform(bounds, world, daemon, actions);
 }
@@ -170,38 +171,38 @@
     }
 }
 
-/// Makes any intent look like the daemon's own.
-fn take_as_own(input: coordinate::Input, nonce: id::Nonce) -> coordinate::Input {
-    use coordinate::{Input, LookUp, RecordOutcome};
+/// Replaces the nonce of any intent by the daemon's own, as if the nonce were not compared.
+fn with_own_nonce(input: coordinate::Input, nonce: id::Nonce) -> coordinate::Input {
+    use coordinate::{Input, ReadOutcome, WriteOutcome};
     use request::Record;
 
     match input {
-        Input::Recorded(RecordOutcome::Exists(Record::Intent(mut intent))) => {
+        Input::Recorded(WriteOutcome::Exists(Record::Intent(mut intent))) => {
             intent.nonce = nonce;
-            Input::Recorded(RecordOutcome::Exists(Record::Intent(intent)))
+            Input::Recorded(WriteOutcome::Exists(Record::Intent(intent)))
         }
-        Input::LookedUp(LookUp::Found(Record::Intent(mut intent))) => {
+        Input::LookedUp(ReadOutcome::Found(Record::Intent(mut intent))) => {
             intent.nonce = nonce;
-            Input::LookedUp(LookUp::Found(Record::Intent(intent)))
+            Input::LookedUp(ReadOutcome::Found(Record::Intent(intent)))
         }
         input => input,
     }
 }
 
 fn perform(bounds: &Bounds, world: &mut World, daemon: usize, actions: Vec<coordinate::Action>) {
-    use coordinate::{Action, Input, RecordOutcome};
+    use coordinate::{Action, Input, WriteOutcome};
 
     for action in actions {
         match action {
-            Action::Ask => begin(world, daemon, Operation::Ask),
+            Action::RequestPermit => begin(world, daemon, Operation::Ask),
             Action::Withdraw => {
                 world.daemon(daemon).operations.retain(|one| *one != Operation::Ask);
             }
             Action::Record(request::Record::Closed { .. }) if !bounds.guards.closing => {
-                feed(bounds, world, daemon, Input::Recorded(RecordOutcome::Created), false);
+                feed(bounds, world, daemon, Input::Recorded(WriteOutcome::Created), false);
             }
             Action::Record(record) => begin(world, daemon, Operation::Write(record)),
-            Action::LookUp => begin(world, daemon, Operation::Read),
+            Action::ReadRecord => begin(world, daemon, Operation::Read),
             Action::Dispatch(endpoint) => begin(world, daemon, Operation::Send(endpoint)),
             Action::Resume { endpoint, .. } => begin(world, daemon, Operation::Resume(endpoint)),
             Action::Attach { coordinator, .. } => {
@@ -211,7 +212,7 @@
                 tell(world, daemon, Told::Answer);
             }
             Action::Refuse(refusal) => tell(world, daemon, Told::Refusal(refusal.kind)),
-            Action::Deliver(_) | Action::HandBack(_) | Action::Cancel(_) => {}
+            Action::Deliver(_) | Action::ReturnPermit(_) | Action::Cancel(_) => {}
         }
     }
     let request = world.daemons[daemon].request.as_ref();
@@ -230,7 +231,7 @@
     }
 }
 
-/// Leaves what a daemon has sent to take effect later, or never.
+/// Drops a daemon's operations; writes and requests that it has sent may still take effect later.
 pub(super) fn abandon(world: &mut World, daemon: usize) {
     for operation in mem::take(&mut world.daemon(daemon).operations) {
         match operation {
@@ -241,7 +242,7 @@
     }
 }
 
-/// Leaves a write to take effect later, or never.
+/// Adds a write that may take effect later or never.
 pub(super) fn write_late(world: &mut World, record: request::Record) {
     if !world.late_writes.contains(&record) {
         world.late_writes.push(record);
@@ -249,7 +250,7 @@
     }
 }
 
-/// Leaves a request to reach its endpoint later, or never.
+/// Adds a request that may reach its endpoint later or never.
 pub(super) fn send_late(world: &mut World, endpoint: id::EndpointName) {
     world.late_sends.push(endpoint);
     world.late_sends.sort();
--- a/crates/spec/src/stops/next.rs
+++ b/crates/spec/src/stops/next.rs
@@ -1,6 +1,6 @@
-//! Which steps are possible in a state.
+//! The transition relation: the steps that are possible in a state.
 
-use trefoildyke_decide::coordinate::{self, Action, Input, Phase, RecordOutcome, Waiting};
+use trefoildyke_decide::coordinate::{self, Action, Input, Phase, Waiting, WriteOutcome};
 use trefoildyke_types::{id, request, time};
 
 use crate::stops::{
@@ -9,20 +9,21 @@
 };
 
 const CREATED_MS: u64 = 1_000_000;
-const NOW: coordinate::Now = coordinate::Now { mono: time::Timestamp::ZERO, unix_ms: CREATED_MS };
+const NOW: coordinate::Now =
+    coordinate::Now { monotonic: time::Timestamp::ZERO, unix_ms: CREATED_MS };
 
-/// Collects the steps that are possible in one state.
+/// Collects the steps that are possible in one state, each with its successor state.
 struct Steps<'a> {
     bounds: &'a Bounds,
     world: &'a World,
-    found: Vec<(Step, World)>,
+    successors: Vec<(Step, World)>,
 }
 
-/// Returns every step that is possible in a state, with the state that it leads to.
+/// Returns every step that is possible in a state, with its successor state.
 pub fn next(bounds: &Bounds, world: &World) -> Vec<(Step, World)> {
-    let mut steps = Steps { bounds, world, found: vec![] };
+    let mut steps = Steps { bounds, world, successors: vec![] };
     if world.stopped {
-        return steps.found;
+        return steps.successors;
     }
     steps.operator();
     for (number, daemon) in world.daemons.iter().enumerate() {
@@ -33,14 +34,14 @@
     for (place, daemon) in world.running.iter().enumerate() {
         steps.add(Step::End(*daemon), |world| end(world, place));
     }
-    steps.found
+    steps.successors
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&mut World)) {
         let mut world = self.world.clone();
         change(&mut world);
-        self.found.push((step, world));
+        self.successors.push((step, world));
     }
 
     fn operator(&mut self) {
@@ -112,7 +113,7 @@
             if check && !takes_work {
                 feed(world, number, Input::EndpointLeaving);
             }
-            feed(world, number, Input::Recorded(RecordOutcome::Created));
+            feed(world, number, Input::Recorded(WriteOutcome::Created));
         });
     }
 }
@@ -127,7 +128,7 @@
     }
 }
 
-/// Ends a request at the endpoint; its daemon, if it lives, has the whole answer.
+/// Ends a request at the endpoint and delivers the complete answer to its daemon.
 fn end(world: &mut World, place: usize) {
     let number = world.running.remove(place);
     let Some(request) = &world.daemons[number].request else { return };
@@ -140,7 +141,7 @@
     feed(world, number, Input::Chunk(chunk));
 }
 
-/// Takes a request without an identifier, if the daemon takes any.
+/// Accepts a request without an id; returns `None` if the daemon refuses it.
 fn start(number: usize, isolated: bool) -> Option<coordinate::RequestState> {
     let own = id::Incarnation::from_u64(number as u64 + 1);
     let arrival =
@@ -159,17 +160,17 @@
     let admission = coordinate::admit(&arrival, &conditions).ok()?;
     let uuid = uuid::Builder::from_unix_timestamp_millis(CREATED_MS, &[0; 10]).into_uuid();
     let id = coordinate::issue(uuid, own, coordinate::Recording::Required);
-    let opening = coordinate::Opening {
+    let initial = coordinate::InitialState {
         key: id::RequestKey { account: "a".into(), id },
         fingerprint: 0,
         own,
         nonce: id::Nonce(number as u64),
-        second: false,
+        maybe_retry: false,
         resumable: true,
         offset: 0,
         retention_ms: 1_000,
     };
-    Some(coordinate::RequestState::start(opening, admission).0)
+    Some(coordinate::RequestState::start(initial, admission).0)
 }
 
 fn permit(request: &coordinate::RequestState) -> request::Permit {
--- a/testbed/src/measure/endpoints.rs
+++ b/testbed/src/measure/endpoints.rs
@@ -85,7 +85,7 @@
 ) -> time::Duration {
     let client = platform::HostsClient::new(list, time::Duration::from_secs(1));
     let (hosts, poller) = hosts::new(hosts::Settings::default(), client);
-    let snapshot = sync::Arc::new(config::Snapshot::of(1, resources));
+    let snapshot = sync::Arc::new(config::Snapshot::from_resources(1, resources));
     let (_config, configs) = watch::channel(snapshot);
     let (feed, mut fed) = mpsc::channel(64);
     let shard = endpoints::Shard { pool: POOL.into(), number: 0 };
@@ -195,7 +195,7 @@
         let before = measure::busy_time();
         for _ in 0..READINGS {
             let list: message::HostList = serde_json::from_slice(&text)?;
-            std::hint::black_box(hosts::Reading::new(tokio::time::Instant::now(), list));
+            std::hint::black_box(hosts::HostsRead::new(tokio::time::Instant::now(), list));
         }
         let busy = measure::busy_time().saturating_sub(before) / READINGS;
         table.add_row([
